--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
@@ -27,7 +27,7 @@
 from fulmarroad.tables import BackendServer, Pool
 from fulmarroad.types import Epoch, Outcome, ShardId, Unit
 from fulmarroad_bench._capacity_state import workspace_name
-from fulmarroad_bench._slopes import Slope, best_us, fit, held_bytes, measure
+from fulmarroad_bench._slopes import Slope, allocated_bytes, best_us, fit, measure
 
 CENTRE = "region-1-dc-01"
 SHARD = ShardId("model-01", CENTRE, 0)
@@ -200,7 +200,7 @@
             raise ValueError("not every demand was granted")
         return scheduler
 
-    return held_bytes(build)
+    return allocated_bytes(build)
 
 
 def _progress_us(leases: int) -> float:
@@ -225,7 +225,7 @@
             prefixes.note("server", range(2**63 + first, 2**63 + first + 16), 1.0)
         return prefixes
 
-    return held_bytes(build)
+    return allocated_bytes(build)
 
 
 def scheduler_slopes() -> list[Slope]:
@@ -237,7 +237,7 @@
             fill(scheduler, workspaces, depth)
             return scheduler
 
-        return held_bytes(build)
+        return allocated_bytes(build)
 
     return [
         measure("cycle_us", "backlogged workspace", "us", BACKLOG_SIZES, _cycle_us),
@@ -257,7 +257,7 @@
             "server",
             "B",
             SERVER_SIZES,
-            lambda size: held_bytes(lambda: build_book(size, UNITS)),
+            lambda size: allocated_bytes(lambda: build_book(size, UNITS)),
         ),
     ]
 
@@ -382,7 +382,7 @@
 
         def run() -> None:
             for _ in range(20):
-                totals.absorb(next(remaining), 1.0)
+                totals.receive_report(next(remaining), 1.0)
 
         return best_us(run, 20)
 
@@ -394,10 +394,10 @@
         def build() -> Totals:
             totals = Totals(SHARD, EPOCH, FleetQueue())
             for peer in range(10):
-                totals.absorb(report(entries, 1, f"entry-vm-{peer:06d}"), 1.0)
+                totals.receive_report(report(entries, 1, f"entry-vm-{peer:06d}"), 1.0)
             return totals
 
-        return held_bytes(build) / 10
+        return allocated_bytes(build) / 10
 
     return [
         measure(
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_follower.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_follower.py
@@ -18,7 +18,7 @@
     SERVERS,
 )
 from fulmarroad_bench._capacity_state import workspace_name
-from fulmarroad_bench._slopes import Slope, best_us, held_bytes, measure
+from fulmarroad_bench._slopes import Slope, allocated_bytes, best_us, measure
 
 SHARD_SIZES = (28, 84, 336)
 """Shards of the fleet; 14 pools in 12 data centres, of two shards each, are 336."""
@@ -134,7 +134,7 @@
             _grant_all(follower, count)
             return follower
 
-        return held_bytes(build)
+        return allocated_bytes(build)
 
     return [
         measure(
@@ -142,7 +142,7 @@
             "shard of the fleet",
             "B",
             SHARD_SIZES,
-            lambda size: held_bytes(lambda: _follower(all_tables[size])),
+            lambda size: allocated_bytes(lambda: _follower(all_tables[size])),
         ),
         measure("assignment_us", "shard of the fleet", "us", SHARD_SIZES, change_us),
         measure("follower_lease_bytes", "running lease", "B", LEASE_SIZES, leases),
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_size.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_size.py
@@ -94,5 +94,5 @@
         return self.tokens_s / self.models
 
 
-LATER = FleetSize()
+TARGET_FLEET = FleetSize()
 """The size that the fleet is built towards."""
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
@@ -27,7 +27,14 @@
     build_manifest,
 )
 from fulmarroad.types import MemberState
-from fulmarroad_bench._slopes import REPEATS, Slope, best_us, fit, held_bytes, measure
+from fulmarroad_bench._slopes import (
+    REPEATS,
+    Slope,
+    allocated_bytes,
+    best_us,
+    fit,
+    measure,
+)
 
 TABLE_SIZES = (100, 200, 400)
 SERVER_SIZES = (100, 200, 400)
@@ -135,7 +142,7 @@
                 per,
                 "B",
                 sizes,
-                lambda size: held_bytes(lambda: build(size)),
+                lambda size: allocated_bytes(lambda: build(size)),
             )
         )
         out.append(
@@ -215,7 +222,7 @@
 
     def index_bytes(size: int) -> float:
         tables = _tables(size)
-        return held_bytes(lambda: RouteIndex(tables))
+        return allocated_bytes(lambda: RouteIndex(tables))
 
     return [
         measure("index_bytes_workspace", "workspace", "B", TABLE_SIZES, index_bytes),
@@ -292,7 +299,7 @@
             "member",
             "B",
             MEMBER_SIZES,
-            lambda size: held_bytes(lambda: build_swim(0, size)),
+            lambda size: allocated_bytes(lambda: build_swim(0, size)),
         ),
         measure("update_bytes", "update", "B", (1, 2, 4), lambda size: size * update),
         fit("probe_packets_period", "member", "packets", MEMBER_SIZES, packets),
@@ -340,7 +347,7 @@
             "key",
             "B",
             KEY_SIZES,
-            lambda size: held_bytes(lambda: build_keys(size)),
+            lambda size: allocated_bytes(lambda: build_keys(size)),
         ),
         measure(
             "key_us", "key", "us", KEY_SIZES, lambda n: best_us(lambda: build_keys(n))
@@ -384,7 +391,7 @@
             "record",
             "B",
             AUDIT_SIZES,
-            lambda size: held_bytes(lambda: build_trail(size)),
+            lambda size: allocated_bytes(lambda: build_trail(size)),
         ),
         measure(
             "audit_us",
@@ -398,7 +405,7 @@
 
 def build_admission(count: int) -> Admission:
     """Return an admission with so many requests that wait, each of a workspace."""
-    admission = Admission(most_waiting=4 * count)
+    admission = Admission(max_waiting=4 * count)
     route = Route("chat", "/v1/chat/completions", "model")
     for index in range(count):
         view = LoadView("model", 1.0, 8)
@@ -415,7 +422,7 @@
             "waiting request",
             "B",
             WAITING_SIZES,
-            lambda size: held_bytes(lambda: build_admission(size)),
+            lambda size: allocated_bytes(lambda: build_admission(size)),
         ),
         measure(
             "admission_us",
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
@@ -36,7 +36,7 @@
 AUDIT_RECORDS = 4096
 KEYS_KEPT = 16_384
 KEY_ANSWERS_BYTES = 4 * 1024 * 1024
-MOST_WAITING = 1024
+MAX_WAITING = 1024
 PREFIX_BLOCKS = 4096
 
 LIMITS = {"sent": 7000.0, "received": 7000.0, "us": 43_000.0, "bytes": 32e6}
@@ -44,7 +44,7 @@
 
 
 @frozen
-class Sum:
+class CostTerm:
     """Hold one line of arithmetic: a role's need of one kind, for a mean node."""
 
     role: str
@@ -57,7 +57,7 @@
 class _Sheet:
     def __init__(self, slopes: Sequence[Slope]) -> None:
         self._slopes = {slope.name: slope for slope in slopes}
-        self.rows: list[Sum] = []
+        self.rows: list[CostTerm] = []
 
     def each(self, name: str) -> float:
         return self._slopes[name].each
@@ -75,11 +75,11 @@
         """Add a product to the sheet and return it."""
         text = " x ".join(f"{factor:,.6g}" for factor in factors)
         value = math.prod(factors)
-        self.rows.append(Sum(role, kind, what, text, value))
+        self.rows.append(CostTerm(role, kind, what, text, value))
         return value
 
 
-def sums(slopes: Sequence[Slope], size: FleetSize) -> list[Sum]:
+def cost_terms(slopes: Sequence[Slope], size: FleetSize) -> list[CostTerm]:
     """Return every line, for a node that holds the mean number of schedulers."""
     sheet = _Sheet(slopes)
     _accepting(sheet, size)
@@ -114,7 +114,7 @@
     sheet.add(role, "bytes", "leases", leases, sheet.each("follower_lease_bytes"))
     shards = size.models * size.shards_of_pool
     sheet.add(role, "bytes", "shards", 1, sheet.at("follower_bytes", shards))
-    sheet.add(role, "bytes", "waiting", MOST_WAITING, sheet.each("admission_bytes"))
+    sheet.add(role, "bytes", "waiting", MAX_WAITING, sheet.each("admission_bytes"))
 
 
 def _progress(sheet: _Sheet, size: FleetSize) -> tuple[float, float]:
@@ -217,6 +217,6 @@
     sheet.add("audit", "bytes", "trail, full", AUDIT_RECORDS, one)
 
 
-def totals(rows: Sequence[Sum]) -> Mapping[str, float]:
+def totals(rows: Sequence[CostTerm]) -> Mapping[str, float]:
     """Return the sum of each kind."""
     return {kind: sum(row.value for row in rows if row.kind == kind) for kind in LIMITS}
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
@@ -43,7 +43,7 @@
     first_at: float = 0.0  # first byte of the body
     chunks: int = 0
     end_at: float = 0.0
-    whole: bool = False
+    complete: bool = False
     timed_out: bool = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -59,7 +59,7 @@
 
     def on_message_complete(self) -> None:
         """Note that the answer came whole."""
-        self.whole = True
+        self.complete = True
 
 
 async def call(
@@ -67,23 +67,23 @@
     request: Request,
     *,
     timeout_s: float = 60.0,
-    leave_after_chunks: int | None = None,
+    disconnect_after_chunks: int | None = None,
     answer: Answer | None = None,
 ) -> Answer:
     """Send one request and return what came back, whole or not.
 
-    `leave_after_chunks` makes the caller close the connection after so many pieces;
-    `answer` is filled where it is given.
+    `disconnect_after_chunks` makes the caller close the connection after so many
+    pieces; `answer` is filled where it is given.
     """
     answer = Answer() if answer is None else answer
     answer.sent_at = time.monotonic()
     with anyio.move_on_after(timeout_s) as scope:
         try:
-            await _exchange(address, request, answer, leave_after_chunks)
+            await _exchange(address, request, answer, disconnect_after_chunks)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
             pass
         except httptools.HttpParserError:
-            answer.whole = False
+            answer.complete = False
     answer.timed_out = scope.cancelled_caught
     answer.end_at = time.monotonic()
     return answer
@@ -104,7 +104,7 @@
 
 
 async def _exchange(
-    address: str, request: Request, answer: Answer, leave_after: int | None
+    address: str, request: Request, answer: Answer, disconnect_after_chunks: int | None
 ) -> None:
     host, _, port = address.rpartition(":")
     with anyio.fail_after(CONNECT_S):
@@ -113,8 +113,11 @@
     parser = httptools.HttpResponseParser(answer)
     async with stream:
         await stream.send(request.encode(address))
-        while not answer.whole:
+        while not answer.complete:
             parser.feed_data(await stream.receive(RECEIVE_BYTES))
             answer.status = parser.get_status_code()
-            if leave_after is not None and answer.chunks >= leave_after:
+            if (
+                disconnect_after_chunks is not None
+                and answer.chunks >= disconnect_after_chunks
+            ):
                 return
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_answer.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_answer.py
@@ -12,7 +12,7 @@
 from fulmarroad_bench._answers import expected_answer, token_at
 from fulmarroad_bench._engine_model import Job
 from fulmarroad_bench._server import (
-    BreakOffError,
+    AbortConnectionError,
     Send,
     respond,
     respond_json,
@@ -35,7 +35,7 @@
 
 
 @define(eq=False)
-class Running:
+class RunningRequest:
     """Hold what the handler of one request waits for."""
 
     job: Job
@@ -50,7 +50,7 @@
     """Send one answer as server-sent events."""
 
     def __init__(
-        self, running: Running, body: dict[str, Any], request_id: str, send: Send
+        self, running: RunningRequest, body: dict[str, Any], request_id: str, send: Send
     ) -> None:
         self._running = running
         self._body = body
@@ -81,7 +81,7 @@
                 break
             await running.wake.wait()
             if running.broken:
-                raise BreakOffError
+                raise AbortConnectionError
         await self._send_end()
 
     async def _send_tokens(self, sent: int, ready: int) -> None:
@@ -92,7 +92,7 @@
             await self._body_message(data, more=True)
         if stop is not None and last >= stop:
             self._running.broken = True
-            raise BreakOffError
+            raise AbortConnectionError
 
     async def _send_end(self) -> None:
         reason = '{"index":0,"delta":{},"finish_reason":"stop"}'
@@ -116,8 +116,8 @@
         )
 
 
-async def send_whole(
-    running: Running, body: dict[str, Any], request_id: str, send: Send
+async def send_complete_answer(
+    running: RunningRequest, body: dict[str, Any], request_id: str, send: Send
 ) -> None:
     """Send an answer in one piece once its last token is there."""
     while not running.job.done and not running.broken:
@@ -143,7 +143,7 @@
     await respond_json(send, 200, answer)
 
 
-def usage_of(running: Running) -> dict[str, Any]:
+def usage_of(running: RunningRequest) -> dict[str, Any]:
     """Return the usage of the whole answer, whatever it was resumed from."""
     prompt = running.record.prompt_tokens
     done = running.job.position
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_model.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_model.py
@@ -187,13 +187,13 @@
         """Tell whether more runs than a cold engine bears."""
         return self.warmth < 1.0 and self.running > self.slots
 
-    def fall_over(self) -> list[Job]:
+    def crash(self) -> list[Job]:
         """Drop every job, turn cold and recover; return what was dropped."""
         self.overloads += 1
         self.recovering_until = self.now + self.profile.recovery_s
-        return self.turn_cold()
+        return self.reset_to_cold()
 
-    def turn_cold(self) -> list[Job]:
+    def reset_to_cold(self) -> list[Job]:
         """Drop every job and forget warmth and cache; return what was dropped."""
         dropped = list(self.jobs.values())
         self.jobs.clear()
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
@@ -13,7 +13,7 @@
 from fulmarroad_bench._layout import ADMIN_TOKEN, RouterRow
 from fulmarroad_bench._load import Balancer
 from fulmarroad_bench._processes import (
-    Bed,
+    LocalFleet,
     ProcessError,
     order,
     order_router,
@@ -30,18 +30,18 @@
 
 
 @define(eq=False)
-class FaultMaker:
+class FaultInjector:
     """Do what the faults of a scenario say, and keep when."""
 
-    bed: Bed
+    local_fleet: LocalFleet
     balancer: Balancer
     group: TaskGroup
     version: int = 1
     out: set[str] = field(factory=set)
-    left_centre: str = ""
-    left_at: float = 0.0
-    back_at: float = 0.0
-    spreads: list[float] = field(factory=list)
+    removed_centre: str = ""
+    removed_at: float = 0.0
+    restored_at: float = 0.0
+    propagation_times: list[float] = field(factory=list)
     exit_codes: list[int | None] = field(factory=list)
     marks: list[tuple[float, str]] = field(factory=list)
     paused: set[str] = field(factory=set)
@@ -69,66 +69,66 @@
         }
 
     async def _engine(self, fault: Fault) -> None:
-        rows = self.bed.layout.engines
+        rows = self.local_fleet.layout.engines
         name = rows[fault.target % len(rows)].name
-        await order(self.bed.engines_control, f"/{name}/control", fault.order)
+        await order(self.local_fleet.engines_control, f"/{name}/control", fault.order)
 
     async def _plain(self, fault: Fault) -> None:
-        rows = self.bed.layout.plains
+        rows = self.local_fleet.layout.plains
         name = rows[fault.target % len(rows)].name
-        await order(self.bed.plains_control, f"/{name}/control", fault.order)
+        await order(self.local_fleet.plains_control, f"/{name}/control", fault.order)
 
     async def _platform(self, fault: Fault) -> None:
-        await order(self.bed.platform_control, "/control", fault.order)
+        await order(self.local_fleet.platform_control, "/control", fault.order)
 
     async def _leave(self, fault: Fault) -> None:
-        self.left_centre = self.bed.layout.data_centres[fault.target]
-        self.out.add(self.left_centre)
-        self.left_at = time.monotonic()
+        self.removed_centre = self.local_fleet.layout.data_centres[fault.target]
+        self.out.add(self.removed_centre)
+        self.removed_at = time.monotonic()
         await self._table(fault)
 
     async def _return(self, fault: Fault) -> None:
-        self.out.discard(self.bed.layout.data_centres[fault.target])
-        self.back_at = time.monotonic()
+        self.out.discard(self.local_fleet.layout.data_centres[fault.target])
+        self.restored_at = time.monotonic()
         await self._table(fault)
 
     async def _table(self, fault: Fault) -> None:
         self.version += 1
-        await self.bed.put_tables(self.version, sorted(self.out))
+        await self.local_fleet.put_tables(self.version, sorted(self.out))
         self.group.start_soon(self._watch_spread, self.version, time.monotonic())
 
     async def _watch_spread(self, version: int, since: float) -> None:
         """Note how long a version takes until it is in force on every router."""
-        missing = set(self.bed.rows) - self.paused
+        missing = set(self.local_fleet.rows) - self.paused
         while missing and time.monotonic() - since < SPREAD_LIMIT_S:
             for name in sorted(missing):
                 if await self._has_version(name, version):
                     missing.discard(name)
             await anyio.sleep(SPREAD_POLL_S)
-        self.spreads.append(time.monotonic() - since)
+        self.propagation_times.append(time.monotonic() - since)
 
     async def _has_version(self, name: str, version: int) -> bool:
-        if name not in self.bed.rows or name in self.paused:
+        if name not in self.local_fleet.rows or name in self.paused:
             return True
         try:
-            status = await self.bed.status(name)
+            status = await self.local_fleet.status(name)
         except ProcessError:
             return False
         return int(status["table_version"]) >= version
 
     async def _cut(self, fault: Fault) -> None:
-        rows = sorted(self.bed.rows.values(), key=lambda row: row.name)
+        rows = sorted(self.local_fleet.rows.values(), key=lambda row: row.name)
         if fault.sides == "halves":
             one = {row.name for row in rows[::2]}
         else:
-            centre = self.bed.layout.data_centres[fault.target]
+            centre = self.local_fleet.layout.data_centres[fault.target]
             one = {row.name for row in rows if row.data_centre == centre}
         other = {row.name for row in rows} - one
         for row in rows:
             await self._cut_one(row, other if row.name in one else one)
 
     async def _heal(self, fault: Fault) -> None:
-        for row in list(self.bed.rows.values()):
+        for row in list(self.local_fleet.rows.values()):
             await self._cut_one(row, set())
 
     async def _cut_one(self, row: RouterRow, peers: set[str]) -> None:
@@ -137,27 +137,31 @@
         )
 
     async def _pause(self, fault: Fault) -> None:
-        row = self.bed.layout.routers[fault.target]
+        row = self.local_fleet.layout.routers[fault.target]
         self.paused.add(row.name)
-        self.bed.routers[row.name].send(signal.SIGSTOP)
+        self.local_fleet.routers[row.name].send(signal.SIGSTOP)
 
     async def _resume(self, fault: Fault) -> None:
-        row = self.bed.layout.routers[fault.target]
-        self.bed.routers[row.name].send(signal.SIGCONT)
+        row = self.local_fleet.layout.routers[fault.target]
+        self.local_fleet.routers[row.name].send(signal.SIGCONT)
         self.paused.discard(row.name)
 
     async def _replace(self, fault: Fault) -> None:
-        self.group.start_soon(self._replace_one, self.bed.layout.routers[fault.target])
+        self.group.start_soon(
+            self._replace_one, self.local_fleet.layout.routers[fault.target]
+        )
 
     async def _replace_one(self, old: RouterRow) -> None:
         """Start a router with no memory, then end the old one gracefully."""
         fresh = router_rows([(f"{old.name}-new", old.data_centre)])[0]
-        child = await self.bed.start_router(fresh)
-        await self.bed.put_vms(leaving=[old.name])
+        child = await self.local_fleet.start_router(fresh)
+        await self.local_fleet.put_vms(leaving=[old.name])
         await wait_ready(child, fresh.admin_address)
         self.balancer.addresses[fresh.name] = fresh.address
-        code = await self.bed.starter.stop(self.bed.routers[old.name], DRAIN_S)
+        code = await self.local_fleet.starter.stop(
+            self.local_fleet.routers[old.name], DRAIN_S
+        )
         self.exit_codes.append(code)
         self.balancer.addresses.pop(old.name, None)
-        del self.bed.rows[old.name]
-        await self.bed.put_vms()
+        del self.local_fleet.rows[old.name]
+        await self.local_fleet.put_vms()
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_decisions.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_decisions.py
@@ -102,14 +102,14 @@
     dispatcher = _dispatcher(me, servers)
     view = FleetView(me, "centre-0", "10.0.0.1", dispatcher, random.Random(1))
     for row in reports:
-        view.book.take_member(member_of(row, 0.0), 0.0)
+        view.book.merge_member(member_of(row, 0.0), 0.0)
     return DigestCost(
         routers,
         servers,
         workspaces,
         len(data),
         _mean_us(lambda: read_digest(unpack(data)), DIGESTS),
-        _mean_us(lambda: view.take_digest(digest, 0.1), DIGESTS),
+        _mean_us(lambda: view.receive_digest(digest, 0.1), DIGESTS),
     )
 
 
@@ -144,7 +144,7 @@
         dispatcher.own_load(),
         dict(list(counts.items())[:40]),
         (),
-        dispatcher.parts.news(40),
+        dispatcher.parts.pop_updates(40),
     )
 
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_suspects.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_suspects.py
@@ -10,9 +10,9 @@
 
 from fulmarroad_bench._processor_time import cpu_s
 from fulmarroad_serving._fingerprints import FINGERPRINT_BYTES, fingerprint_of
-from fulmarroad_serving._fleet_view import MOST_SUSPECTS
+from fulmarroad_serving._fleet_view import MAX_SUSPECTS
 from fulmarroad_serving._reports import pack_suspects, read_suspects
-from fulmarroad_serving._suspects import MOST_RECORDS, Standing, Suspects
+from fulmarroad_serving._suspects import MAX_RECORDS, Suspects, SuspectState
 
 ROUNDS = 2_000
 BODY_BYTES = 17_000
@@ -42,29 +42,29 @@
     suspects = _full()
     known_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
-    rows = suspects.news(MOST_SUSPECTS, 2.0)
+    rows = suspects.pop_updates(MAX_SUSPECTS, 2.0)
     hearer = Suspects()
 
     def carry() -> None:
         data = msgpack.packb(pack_suspects(rows))
-        hearer.take(read_suspects(msgpack.unpackb(data)), 3.0)
+        hearer.merge_rows(read_suspects(msgpack.unpackb(data)), 3.0)
 
     return SuspectCost(
         fingerprint_us,
         len(rows),
         len(msgpack.packb(pack_suspects(rows))),
         _each_us(carry),
-        MOST_RECORDS,
+        MAX_RECORDS,
         round(known_kb, 1),
     )
 
 
 def _full() -> Suspects:
     suspects = Suspects()
-    for number in range(MOST_RECORDS):
+    for number in range(MAX_RECORDS):
         name = number.to_bytes(FINGERPRINT_BYTES, "big")
-        for end in range(Standing.BARRED):
-            suspects.note_end(name, end << 40 | number, 1.0)
+        for end in range(SuspectState.BARRED):
+            suspects.note_crash(name, end << 40 | number, 1.0)
     return suspects
 
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_gap.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_gap.py
@@ -19,7 +19,7 @@
 
 
 @frozen
-class Served:
+class ServiceEvent:
     """Say that a workspace got weighted service at a time."""
 
     at: float
@@ -32,8 +32,8 @@
     """Hold the largest difference found, and between whom."""
 
     value: float = 0.0
-    more: str = ""
-    less: str = ""
+    more_served: str = ""
+    less_served: str = ""
     start: float = 0.0
     end: float = 0.0
 
@@ -41,7 +41,9 @@
 class _Curves:
     """Hold the service of each workspace as it grows, at common times."""
 
-    def __init__(self, served: Sequence[Served], workspaces: Sequence[str]) -> None:
+    def __init__(
+        self, served: Sequence[ServiceEvent], workspaces: Sequence[str]
+    ) -> None:
         row_of = {name: row for row, name in enumerate(workspaces)}
         known = [event for event in served if event.workspace in row_of]
         self.times, places = np.unique(
@@ -69,7 +71,7 @@
 
 
 def fairness_gap(
-    served: Sequence[Served], backlogged: Mapping[str, Sequence[Interval]]
+    served: Sequence[ServiceEvent], backlogged: Mapping[str, Sequence[Interval]]
 ) -> Gap:
     """Return the largest gap over every pair and every common backlog."""
     names = sorted(backlogged)
@@ -91,12 +93,12 @@
     ahead = curves.between(row, interval) - curves.between(other, interval)
     low, high = int(ahead.argmin()), int(ahead.argmax())
     value = float(ahead[high] - ahead[low])
-    more, less = (row, other) if low < high else (other, row)
+    more_served, less_served = (row, other) if low < high else (other, row)
     start, end = min(low, high), max(low, high)
     return Gap(
         value,
-        names[more],
-        names[less],
+        names[more_served],
+        names[less_served],
         curves.time_at(interval, start),
         curves.time_at(interval, end),
     )
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_intervals.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_intervals.py
@@ -36,7 +36,7 @@
     return out
 
 
-def begun_later(intervals: Iterable[Interval], by: float) -> list[Interval]:
+def trim_starts(intervals: Iterable[Interval], by: float) -> list[Interval]:
     """Return each interval without its first `by` seconds."""
     return [(start + by, end) for start, end in intervals if start + by < end]
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_day.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_day.py
@@ -7,34 +7,34 @@
 
 from attrs import frozen
 
-from fulmarroad_bench._lab_engine import LabCall
-from fulmarroad_bench._lab_traffic import Sheet
+from fulmarroad_bench._lab_engine import SimulatedCall
+from fulmarroad_bench._lab_traffic import Workload
 
 
 @frozen
-class Outcome:
+class CallOutcome:
     """Hold how one call ended for its caller."""
 
-    call: LabCall
+    call: SimulatedCall
     ended: str  # on time, late or refused
     at: float
 
 
 @frozen
-class LabDay:
+class SimulatedDay:
     """Hold what one day brought with one policy."""
 
     policy: str
     seed: int
-    outcomes: tuple[Outcome, ...]
+    outcomes: tuple[CallOutcome, ...]
     samples: tuple[tuple[float, int, float], ...]  # time, calls waiting, memory used
     read_tokens: int
-    read_again: int
+    reread_tokens: int
 
 
-def worth(sheet: Sheet, outcomes: Sequence[Outcome]) -> float:
+def worth(workload: Workload, outcomes: Sequence[CallOutcome]) -> float:
     """Return the part of all worth that callers got."""
-    kinds = {row.name: row for row in sheet.classes}
+    kinds = {row.name: row for row in workload.classes}
     got = sum(
         kinds[row.call.kind].worth
         if row.ended == "on time"
@@ -46,20 +46,24 @@
     return got / owed if owed else 0.0
 
 
-def summary(sheet: Sheet, day: LabDay) -> dict[str, Any]:
+def summary(workload: Workload, day: SimulatedDay) -> dict[str, Any]:
     """Return the figures of a day."""
     ended = [row.ended for row in day.outcomes]
     by_class = {
         kind.name: round(
-            worth(sheet, [row for row in day.outcomes if row.call.kind == kind.name]),
+            worth(
+                workload, [row for row in day.outcomes if row.call.kind == kind.name]
+            ),
             3,
         )
-        for kind in sheet.classes
+        for kind in workload.classes
     }
     names = sorted({row.call.workspace for row in day.outcomes})
     by_workspace = {
         name: round(
-            worth(sheet, [row for row in day.outcomes if row.call.workspace == name]),
+            worth(
+                workload, [row for row in day.outcomes if row.call.workspace == name]
+            ),
             3,
         )
         for name in names
@@ -68,11 +72,11 @@
         "policy": day.policy,
         "seed": day.seed,
         "calls": len(ended),
-        "worth": round(worth(sheet, day.outcomes), 3),
+        "worth": round(worth(workload, day.outcomes), 3),
         "on_time": ended.count("on time"),
         "late": ended.count("late"),
         "refused": ended.count("refused"),
-        "read_again_part": round(day.read_again / max(1, day.read_tokens), 3),
+        "read_again_part": round(day.reread_tokens / max(1, day.read_tokens), 3),
         "by_class": by_class,
         "by_workspace": by_workspace,
     }
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_engine.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_engine.py
@@ -21,7 +21,7 @@
 
 
 @define(eq=False)
-class LabCall:
+class SimulatedCall:
     """Follow one call through the model."""
 
     number: int
@@ -32,7 +32,7 @@
     own_tokens: int
     output_tokens: int
     arrived: float  # of the caller's first try
-    returns: int = 0
+    retries: int = 0
     unread: int = 0  # prompt tokens that the engine has yet to read
     left: int = 0  # answer tokens that it has yet to make
 
@@ -42,22 +42,22 @@
     """Tell what one step brought."""
 
     seconds: float
-    begun: tuple[LabCall, ...]  # whose first token came
-    done: tuple[LabCall, ...]
+    begun: tuple[SimulatedCall, ...]  # whose first token came
+    done: tuple[SimulatedCall, ...]
 
 
 @define(eq=False)
-class LabEngine:
+class SimulatedEngine:
     """Run calls in steps; whoever drives it keeps the time."""
 
     shape: EngineShape = field(factory=EngineShape)
     speed: float = 1.0
-    waiting: deque[LabCall] = field(factory=deque)
-    running: list[LabCall] = field(factory=list)
+    waiting: deque[SimulatedCall] = field(factory=deque)
+    running: list[SimulatedCall] = field(factory=list)
     read_tokens: int = 0
-    read_again: int = 0  # of shared parts that it or another engine had read before
+    reread_tokens: int = 0  # of shared parts that it or another engine had read before
     _cache: OrderedDict[str, int] = field(factory=OrderedDict)
-    _reading: LabCall | None = None
+    _reading: SimulatedCall | None = None
 
     @property
     def busy(self) -> bool:
@@ -75,7 +75,7 @@
         held = sum(row.own_tokens + row.output_tokens for row in self.running)
         return held + sum(self._cache.values())
 
-    def admit(self, call: LabCall) -> bool:
+    def admit(self, call: SimulatedCall) -> bool:
         """Take a call, or turn it away as full."""
         if self.calls >= self.shape.slots + self.shape.queue:
             return False
@@ -105,7 +105,7 @@
         seconds += shape.answer_s * len(self.running)
         return StepResult(seconds / self.speed, tuple(begun), done)
 
-    def _next(self, known: set[str]) -> LabCall | None:
+    def _next(self, known: set[str]) -> SimulatedCall | None:
         if self._reading is None and self.waiting:
             if len(self.running) >= self.shape.slots:
                 return None
@@ -113,14 +113,14 @@
             self._begin(self._reading, known)
         return self._reading
 
-    def _begin(self, call: LabCall, known: set[str]) -> None:
+    def _begin(self, call: SimulatedCall, known: set[str]) -> None:
         call.left = call.output_tokens
         call.unread = max(1, call.own_tokens)
         if not call.part:
             return
         if call.part not in self._cache:
             call.unread += call.shared_tokens
-            self.read_again += call.shared_tokens if call.part in known else 0
+            self.reread_tokens += call.shared_tokens if call.part in known else 0
             known.add(call.part)
             self._cache[call.part] = call.shared_tokens
         self._cache.move_to_end(call.part)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
@@ -9,13 +9,13 @@
 from fulmarroad_serving._lateness import SAMPLE_S, LoopLateness
 from fulmarroad_serving._saturation import SaturationGuard
 
-READ_S = 0.0005
+READ_COST_S = 0.0005
 """Reading a call, and refusing it if need be, on a whole core."""
 
-LOOK_S = 0.0002
+PLACEMENT_COST_S = 0.0002
 """One look for a place."""
 
-CARRY_S = 0.003
+FORWARD_COST_S = 0.003
 """Sending a call and handing its answer on."""
 
 TURNS = 10
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_report.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_report.py
@@ -16,8 +16,8 @@
 from matplotlib import pyplot as plt  # noqa: E402
 from matplotlib.figure import Figure  # noqa: E402
 
-from fulmarroad_bench._lab_day import LabDay, worth  # noqa: E402
-from fulmarroad_bench._lab_traffic import Sheet  # noqa: E402
+from fulmarroad_bench._lab_day import SimulatedDay, worth  # noqa: E402
+from fulmarroad_bench._lab_traffic import Workload  # noqa: E402
 
 WINDOW_S = 2.0
 COLUMNS = ("policy", "seed", "calls", "worth", "on_time", "late", "refused")
@@ -28,15 +28,15 @@
 
 def write_report(
     directory: Path,
-    sheet: Sheet,
-    days: Sequence[LabDay],
+    workload: Workload,
+    days: Sequence[SimulatedDay],
     rows: Sequence[Mapping[str, Any]],
 ) -> Path:
     """Write the page and return its path."""
     directory.mkdir(parents=True, exist_ok=True)
     body = _table(rows, (*COLUMNS, "read_again_part"))
     first = [day for day in days if day.seed == days[0].seed]
-    body += _image(_by_second(sheet, first)) + _image(_by_engine(first))
+    body += _image(_by_second(workload, first)) + _image(_by_engine(first))
     for part in ("by_class", "by_workspace"):
         names = sorted({name for row in rows for name in row[part]})
         flat = [{"policy": row["policy"], **row[part]} for row in rows]
@@ -57,14 +57,14 @@
     return f"<table><tr>{head}</tr>{body}</table>"
 
 
-def _by_second(sheet: Sheet, days: Sequence[LabDay]) -> Figure:
+def _by_second(workload: Workload, days: Sequence[SimulatedDay]) -> Figure:
     figure, axes = plt.subplots(figsize=(9, 4))
     for day in days:
         windows = defaultdict(list)
         for row in day.outcomes:
             windows[int(row.call.arrived / WINDOW_S)].append(row)
         times = sorted(windows)
-        values = [worth(sheet, windows[time]) for time in times]
+        values = [worth(workload, windows[time]) for time in times]
         axes.plot([time * WINDOW_S for time in times], values, label=day.policy)
     axes.set_xlabel("second of arrival")
     axes.set_ylabel("part of worth")
@@ -72,7 +72,7 @@
     return figure
 
 
-def _by_engine(days: Sequence[LabDay]) -> Figure:
+def _by_engine(days: Sequence[SimulatedDay]) -> Figure:
     figure, (queue, memory) = plt.subplots(1, 2, figsize=(9, 3.5))
     for day in days:
         times = [row[0] for row in day.samples]
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_traffic.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_traffic.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from fulmarroad_bench._lab_engine import LabCall
+from fulmarroad_bench._lab_engine import SimulatedCall
 
 
 @frozen
@@ -37,7 +37,7 @@
 
 
 @frozen
-class Sheet:
+class Workload:
     """Describe the traffic of a day."""
 
     classes: tuple[CallClass, ...]
@@ -48,7 +48,7 @@
     seconds: float = 40.0
 
 
-REMINDERS = Sheet(
+REMINDERS = Workload(
     (
         CallClass("dossier-letter", 38.6, 13_300, 3_720, 120, 0.4, 3.0, 0.3, 182),
         CallClass("relance-notice", 28.9, 6_300, 2_890, 50, 0.4, 2.5, 0.25, 90),
@@ -59,25 +59,29 @@
 """Reminder letters as their sheet states them, on an ordinary overloaded day."""
 
 
-def arrivals(sheet: Sheet, seed: int) -> Iterator[LabCall]:
+def arrivals(workload: Workload, seed: int) -> Iterator[SimulatedCall]:
     """Yield calls in the order of their arrival."""
     source = random.Random(seed)
-    sizes = [1.0 / (number + 1) ** sheet.skew for number in range(sheet.workspaces)]
-    most = math.prod(max(1.0, row.times) for row in sheet.surges)
-    rate = sum(row.per_s for row in sheet.classes)
+    sizes = [
+        1.0 / (number + 1) ** workload.skew for number in range(workload.workspaces)
+    ]
+    most = math.prod(max(1.0, row.times) for row in workload.surges)
+    rate = sum(row.per_s for row in workload.classes)
     now, number = 0.0, 0
     while True:
         # Thinning: draw at the highest rate and drop what the moment does not have.
         now += source.expovariate(rate * most)
-        if now >= sheet.seconds:
+        if now >= workload.seconds:
             return
-        workspace = source.choices(range(sheet.workspaces), sizes)[0]
-        if source.random() >= _times(sheet, workspace, now) / most:
+        workspace = source.choices(range(workload.workspaces), sizes)[0]
+        if source.random() >= _times(workload, workspace, now) / most:
             continue
-        kind = source.choices(sheet.classes, [row.per_s for row in sheet.classes])[0]
+        kind = source.choices(
+            workload.classes, [row.per_s for row in workload.classes]
+        )[0]
         number += 1
-        part = int(kind.parts * source.random() ** (1.0 + sheet.part_skew))
-        yield LabCall(
+        part = int(kind.parts * source.random() ** (1.0 + workload.part_skew))
+        yield SimulatedCall(
             number,
             kind.name,
             f"w{workspace:02d}",
@@ -89,9 +93,9 @@
         )
 
 
-def _times(sheet: Sheet, workspace: int, now: float) -> float:
+def _times(workload: Workload, workspace: int, now: float) -> float:
     times = 1.0
-    for row in sheet.surges:
+    for row in workload.surges:
         if row.at_s <= now < row.at_s + row.for_s and row.workspace in (
             None,
             workspace,
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
@@ -30,7 +30,7 @@
     prompt: str = "Write a short reminder."
     idempotency_key: str = ""
     first_attempt: bool = False
-    leave_after: int | None = None
+    disconnect_after_chunks: int | None = None
     timeout_s: float = 60.0
 
     def request(self) -> Request:
@@ -99,7 +99,7 @@
     idempotency_key: str = ""
 
 
-def judge(plan: CallPlan, answer: Answer) -> CallResult:
+def classify_call(plan: CallPlan, answer: Answer) -> CallResult:
     """Return how a call went."""
     return CallResult(
         plan.id,
@@ -121,9 +121,9 @@
         return "unreachable"
     if answer.status == 200:
         return _outcome_of_text(plan, answer)
-    if plan.leave_after is not None:
+    if plan.disconnect_after_chunks is not None:
         return "left"
-    if not answer.status or not answer.whole:
+    if not answer.status or not answer.complete:
         return "cut_off"
     said = answer.headers.get(RAN_HEADER, "")
     return {"not_run": "refused", "unknown": "unknown"}.get(said, "failed")
@@ -131,11 +131,11 @@
 
 def _outcome_of_text(plan: CallPlan, answer: Answer) -> str:
     text, ended = answer_text(plan, answer)
-    if answer.whole and ended:
+    if answer.complete and ended:
         return "completed" if text == plan.expected() else "wrong"
-    if plan.leave_after is not None:
+    if plan.disconnect_after_chunks is not None:
         return "left" if plan.expected().startswith(text) else "wrong"
-    if answer.whole and b'"error"' not in answer.body[-2000:]:
+    if answer.complete and b'"error"' not in answer.body[-2000:]:
         return "wrong"
     return "cut_off"
 
@@ -143,9 +143,9 @@
 def answer_text(plan: CallPlan, answer: Answer) -> tuple[str, bool]:
     """Return the text of an answer and whether it claims to be whole."""
     if plan.kind != "chat":
-        return answer.body.decode(errors="replace"), answer.whole
+        return answer.body.decode(errors="replace"), answer.complete
     if not plan.stream:
-        return _plain_text(bytes(answer.body)), answer.whole
+        return _plain_text(bytes(answer.body)), answer.complete
     return stream_text(bytes(answer.body))
 
 
@@ -201,11 +201,11 @@
                 addresses,
                 plan.request(),
                 timeout_s=plan.timeout_s,
-                leave_after_chunks=plan.leave_after,
+                disconnect_after_chunks=plan.disconnect_after_chunks,
             )
         finally:
             self.running -= 1
-        result = judge(plan, answer)
+        result = classify_call(plan, answer)
         self.results.append(result)
         return result
 
@@ -223,7 +223,7 @@
     spread: dict[str, int] = field(factory=dict)
     unready: set[str] = field(factory=set)
 
-    def order_for(self, workspace: str) -> list[str]:
+    def ranked_addresses(self, workspace: str) -> list[str]:
         """Return the addresses to try, best first."""
         taking = [name for name in self.addresses if name not in self.unready]
         self.rng.shuffle(taking)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_measures.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_measures.py
@@ -12,18 +12,18 @@
 from attrs import frozen
 
 from fulmarroad_bench._checks import check, starts_in
-from fulmarroad_bench._gap import Gap, Served, fairness_gap
+from fulmarroad_bench._gap import Gap, ServiceEvent, fairness_gap
 from fulmarroad_bench._intervals import (
     Interval,
-    begun_later,
     intersected,
     merged,
     total,
+    trim_starts,
     where_true,
 )
 from fulmarroad_bench._load import CallResult
 
-HAND_OVER_S = 0.05
+IDLE_TOLERANCE_S = 0.05
 """Seconds for which a free slot and a waiting request may miss each other.
 
 A grant takes a message there and back between routers and a new connection; less
@@ -45,9 +45,9 @@
     plains: Sequence[Report]
     weights: Mapping[str, float]
     centre_of: Mapping[str, str]  # by engine or plain service
-    left_centre: str = ""
-    left_at: float = 0.0
-    back_at: float = 0.0
+    removed_centre: str = ""
+    removed_at: float = 0.0
+    restored_at: float = 0.0
 
     @property
     def window(self) -> list[Interval]:
@@ -56,12 +56,12 @@
 
     def out_intervals(self, server: str) -> list[Interval]:
         """Return when a server's data centre was taken out."""
-        if not self.left_centre or self.centre_of.get(server) != self.left_centre:
+        if not self.removed_centre or self.centre_of.get(server) != self.removed_centre:
             return []
-        return [(self.left_at, self.back_at or self.end)]
+        return [(self.removed_at, self.restored_at or self.end)]
 
 
-def served_events(run: Run) -> list[Served]:
+def service_events(run: Run) -> list[ServiceEvent]:
     """Return the weighted service of model engines as it was given."""
     events = []
     for report in run.engines:
@@ -74,7 +74,7 @@
             if index not in begun:
                 begun.add(index)
                 service += PROMPT_COST * record["prompt_tokens"]
-            events.append(Served(at, workspace, service / run.weights[workspace]))
+            events.append(ServiceEvent(at, workspace, service / run.weights[workspace]))
     return events
 
 
@@ -113,7 +113,7 @@
 
 def gap_of(run: Run) -> Gap:
     """Return the fairness gap of a run."""
-    return fairness_gap(served_events(run), backlogged(run))
+    return fairness_gap(service_events(run), backlogged(run))
 
 
 def utilisation(run: Run) -> float:
@@ -155,9 +155,9 @@
         mine = free_intervals(report, run.end)
         gone = run.out_intervals(report["name"])
         mine = intersected(mine, _without(gone, run.start, run.end))
-        free += begun_later(mine, HAND_OVER_S)
+        free += trim_starts(mine, IDLE_TOLERANCE_S)
     waits = [interval for _, interval in waiting_intervals(run)]
-    waiting = merged(begun_later(waits, HAND_OVER_S))
+    waiting = merged(trim_starts(waits, IDLE_TOLERANCE_S))
     return intersected(intersected(merged(free), waiting), run.window)
 
 
@@ -197,7 +197,7 @@
         "false_not_run": checks.false_not_run,
         "unheard": checks.unheard,
         "fairness_gap": round(gap.value, 1),
-        "fairness_gap_between": [gap.more, gap.less],
+        "fairness_gap_between": [gap.more_served, gap.less_served],
         "utilisation": round(utilisation(run), 4),
         "idle_while_waiting_s": round(total(idle_while_waiting(run)), 3),
         "cold_overload": sum(report["overloads"] for report in run.engines),
@@ -221,23 +221,23 @@
 
 def shift_measures(run: Run) -> dict[str, float | None]:
     """Return how callers fared while a data centre was out of service."""
-    if not run.left_centre:
+    if not run.removed_centre:
         empty = ("served_while_leaving_share", "last_work_after_leave_s")
         return dict.fromkeys((*empty, "p95_steady_ms", "p95_shift_ms"))
-    back = run.back_at or run.end
-    during = [r for r in run.results if run.left_at <= r.sent_at < back]
-    before = [r for r in run.results if run.start <= r.sent_at < run.left_at]
+    back = run.restored_at or run.end
+    during = [r for r in run.results if run.removed_at <= r.sent_at < back]
+    before = [r for r in run.results if run.start <= r.sent_at < run.removed_at]
     counted = [r for r in during if r.outcome != "left"]
     done = sum(r.outcome == "completed" for r in counted)
     there = [
         report
         for report in (*run.engines, *run.plains)
-        if run.centre_of.get(report["name"]) == run.left_centre
+        if run.centre_of.get(report["name"]) == run.removed_centre
     ]
-    starts = starts_in(there, run.left_at, back)
+    starts = starts_in(there, run.removed_at, back)
     return {
         "served_while_leaving_share": round(done / len(counted), 4) if counted else 1.0,
-        "last_work_after_leave_s": round(starts[-1] - run.left_at, 3)
+        "last_work_after_leave_s": round(starts[-1] - run.removed_at, 3)
         if starts
         else 0.0,
         "p95_steady_ms": latencies(before)["p95_ms"],
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_plots.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_plots.py
@@ -12,7 +12,7 @@
 from matplotlib import pyplot as plt  # noqa: E402
 from matplotlib.axes import Axes  # noqa: E402
 
-from fulmarroad_bench._measures import Run, served_events  # noqa: E402
+from fulmarroad_bench._measures import Run, service_events  # noqa: E402
 
 Mark = tuple[float, str]
 SHOWN_WORKSPACES = 16
@@ -49,7 +49,7 @@
 
 def _service(run: Run, axes: Axes) -> None:
     by_workspace: dict[str, list[tuple[float, float]]] = {}
-    for event in served_events(run):
+    for event in service_events(run):
         pairs = by_workspace.setdefault(event.workspace, [])
         pairs.append((event.at - run.start, event.service))
     for name, pairs in sorted(by_workspace.items())[:SHOWN_WORKSPACES]:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
@@ -240,13 +240,13 @@
 
 
 def _json_of(answer: Answer, address: str, path: str) -> Any:
-    if not 200 <= answer.status < 300 or not answer.whole:
+    if not 200 <= answer.status < 300 or not answer.complete:
         raise ProcessError(f"{address}{path} answered {answer.status}.")
     return json.loads(answer.body) if answer.body else {}
 
 
 @define(eq=False)
-class Bed:
+class LocalFleet:
     """Run the stand-ins and routers of one layout."""
 
     layout: Layout
@@ -315,14 +315,14 @@
         return [await fetch(self.plains_control, f"/{name}/records") for name in names]
 
 
-async def start_bed(
+async def start_local_fleet(
     layout: Layout,
     starter: Processes,
     *,
     policy: str = "fleet",
     profile: dict[str, float] | None = None,
     plain_service_s: float = SERVICE_S,
-) -> Bed:
+) -> LocalFleet:
     """Start the stand-ins of a layout, with its tables of version 1 in view."""
     ports = free_ports(4)
     platform, platform_control, engines_control, plains_control = ports
@@ -350,7 +350,7 @@
     ):
         if server is not None:
             await wait_ready(server, f"{HOST}:{control}", f"/{rows[0].name}/records")
-    bed = Bed(
+    local_fleet = LocalFleet(
         layout,
         starter,
         f"{HOST}:{platform}",
@@ -359,8 +359,8 @@
         f"{HOST}:{plains_control}",
         policy,
     )
-    await bed.put_tables(1)
-    return bed
+    await local_fleet.put_tables(1)
+    return local_fleet
 
 
 async def _start_servers(
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
@@ -23,11 +23,11 @@
 """Seconds between looks at a server that starts or stops."""
 
 
-class BreakOffError(Exception):
+class AbortConnectionError(Exception):
     """End the connection in the middle of an answer, as a crash would."""
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """Report that the caller closed the connection before its body was whole."""
 
 
@@ -56,7 +56,7 @@
     while more:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerLeftError
+            raise CallerDisconnectedError
         chunks.append(message.get("body", b""))
         more = message.get("more_body", False)
     headers = {key.decode("latin-1"): value for key, value in scope["headers"]}
@@ -74,7 +74,7 @@
     return {pair[0]: pair[1] for pair in pairs}
 
 
-async def wait_for_leaving(receive: Receive) -> None:
+async def wait_for_disconnect(receive: Receive) -> None:
     """Return once the caller has closed the connection."""
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_slopes.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_slopes.py
@@ -57,7 +57,7 @@
     return fit(name, per, unit, sizes, [float(value_of(size)) for size in sizes])
 
 
-def held_bytes(build: Callable[[], Any]) -> int:
+def allocated_bytes(build: Callable[[], Any]) -> int:
     """Return the bytes that stay allocated while the built thing is held.
 
     Counted by tracemalloc: what Python's allocator gave out, without its own slack.
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_house.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_standin_host.py
@@ -24,7 +24,7 @@
 
 
 class StandIn(Protocol):
-    """What a house needs of a stand-in."""
+    """What `StandInHost` needs of a stand-in."""
 
     name: str
     listener: Listener | None
@@ -51,7 +51,7 @@
         """Return what was seen."""
 
 
-async def answer_control(
+async def handle_control_request(
     standin: Controlled, scope: Scope, receive: Receive, send: Send
 ) -> None:
     """Answer one call to a stand-in's control paths."""
@@ -65,7 +65,7 @@
         await respond_json(send, 404, {"error": "no such path"})
 
 
-class House:
+class StandInHost:
     """Serve stand-ins and their control port."""
 
     def __init__(
@@ -122,16 +122,16 @@
     return tuple(str(value).split(","))
 
 
-def run_house(
+def run_standins(
     standins: Sequence[StandIn], ports: Sequence[int], control_port: int
 ) -> None:
     """Serve stand-ins until SIGTERM or SIGINT."""
 
     async def serve() -> None:
-        house = House(standins, ports, control_port)
+        host = StandInHost(standins, ports, control_port)
         async with anyio.create_task_group() as group:
-            group.start_soon(house.run)
-            house.announce()
+            group.start_soon(host.run)
+            host.announce()
             await wait_for_signal()
             group.cancel_scope.cancel()
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
@@ -19,7 +19,7 @@
 """Seconds that a caller waits after anything but an answer."""
 KEYED_SHARE = 0.7
 """Share of ledger calls with an idempotency key."""
-MOST_COMMON_WORDS = 48
+MAX_SHARED_PREFIX_WORDS = 48
 """Words at most by which all prompts of a workspace begin, cached as a prefix."""
 REPEAT_SHARE = 0.2
 """Share of keyed ledger calls that are sent again, as after a lost answer."""
@@ -41,7 +41,7 @@
     )
 
 
-class CallMaker:
+class CallGenerator:
     """Make the calls of one workspace from a seed."""
 
     def __init__(self, group: Group, workspace: WorkspaceRow, seed: int) -> None:
@@ -95,7 +95,7 @@
     def _prompt(self, words: int) -> str:
         """Return a prompt that begins as all of the workspace's do."""
         start = f"{self._workspace.name} letter "
-        common = start * min(words // 4, MOST_COMMON_WORDS // 2)
+        common = start * min(words // 4, MAX_SHARED_PREFIX_WORDS // 2)
         return common + " ".join(f"w{self._rng.randrange(999)}" for _ in range(words))
 
 
@@ -118,10 +118,10 @@
             for row in self.scenario.groups:
                 for name in workspace_names(row):
                     workspace = WorkspaceRow(name, row.weight)
-                    maker = CallMaker(row, workspace, self.seed)
+                    maker = CallGenerator(row, workspace, self.seed)
                     self._start(group, row, maker)
 
-    def _start(self, group: TaskGroup, row: Group, maker: CallMaker) -> None:
+    def _start(self, group: TaskGroup, row: Group, maker: CallGenerator) -> None:
         for _ in range(row.callers):
             group.start_soon(self._closed_loop, row, maker)
         if row.rate:
@@ -129,7 +129,7 @@
         if row.ledger_rate:
             group.start_soon(self._open_loop, row, row.ledger_rate, maker.post, maker)
 
-    async def _closed_loop(self, row: Group, maker: CallMaker) -> None:
+    async def _closed_loop(self, row: Group, maker: CallGenerator) -> None:
         await anyio.sleep(row.start_s)
         while self._going(row):
             result = await self._send(maker.chat())
@@ -143,7 +143,7 @@
         row: Group,
         rate: float,
         make: Callable[[], CallPlan],
-        maker: CallMaker,
+        maker: CallGenerator,
     ) -> None:
         await anyio.sleep(row.start_s)
         async with anyio.create_task_group() as group:
@@ -151,7 +151,7 @@
                 await anyio.sleep(maker.gap_s(rate))
                 group.start_soon(self._send_once, make(), maker)
 
-    async def _send_once(self, plan: CallPlan, maker: CallMaker) -> None:
+    async def _send_once(self, plan: CallPlan, maker: CallGenerator) -> None:
         result = await self._send(plan)
         if plan.idempotency_key and maker.repeats():
             if result.outcome != "completed":
@@ -159,7 +159,9 @@
             await self._send(evolve(plan, first_attempt=False))
 
     async def _send(self, plan: CallPlan) -> CallResult:
-        return await self.callers.send(plan, self.balancer.order_for(plan.workspace))
+        return await self.callers.send(
+            plan, self.balancer.ranked_addresses(plan.workspace)
+        )
 
     def _going(self, row: Group) -> bool:
         return not self.stopped and self._clock() - self.began < row.stop_s
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_versions.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_versions.py
@@ -11,7 +11,7 @@
 
 
 @frozen
-class VersionSeen:
+class VersionObservation:
     """Say which table version a router that takes calls had in force at a time."""
 
     at: float
@@ -19,7 +19,7 @@
     version: int
 
 
-def reverts(seen: Sequence[VersionSeen]) -> list[VersionSeen]:
+def find_reverts(seen: Sequence[VersionObservation]) -> list[VersionObservation]:
     """Return each sight of a router behind itself, or long behind any other.
 
     The second kind is a router that restarted without memory and believed an old
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/capacity.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/capacity.py
@@ -15,11 +15,11 @@
 
 from fulmarroad.scheduling import gap_bound, spread_interval
 from fulmarroad_bench import _capacity_control, _capacity_follower, _capacity_state
-from fulmarroad_bench._capacity_size import LATER, FleetSize
+from fulmarroad_bench._capacity_size import TARGET_FLEET, FleetSize
 from fulmarroad_bench._capacity_sums import (
     LIMITS,
-    Sum,
-    sums,
+    CostTerm,
+    cost_terms,
     totals,
 )
 from fulmarroad_bench._slopes import Slope
@@ -71,7 +71,7 @@
     return "\n".join(rows)
 
 
-def arithmetic(rows: list[Sum]) -> str:
+def format_cost_terms(rows: list[CostTerm]) -> str:
     """Return the sums line by line, and each kind's total against its limit."""
     shown = [
         f"{row.role:14}{row.kind:10}{row.what:36}{row.text} = {row.value:,.1f}"
@@ -85,12 +85,12 @@
 
 
 def line(
-    slopes: list[Slope], limits: dict[str, float], rows: list[Sum]
+    slopes: list[Slope], limits: dict[str, float], rows: list[CostTerm]
 ) -> dict[str, Any]:
     """Return what the last line holds."""
     return {
         "slopes": {slope.name: asdict(slope) for slope in slopes},
-        "size": asdict(LATER),
+        "size": asdict(TARGET_FLEET),
         "bounds": limits,
         "totals": totals(rows),
         "limits": LIMITS,
@@ -99,12 +99,12 @@
 
 def main() -> None:
     """Measure, then print slopes, sums and one JSON line."""
-    slopes, limits = all_slopes(), bounds(LATER)
+    slopes, limits = all_slopes(), bounds(TARGET_FLEET)
     rounds = next(slope for slope in slopes if slope.name == "round_s").values[-1]
-    limits["gap_bound_round_tokens"] = _gap_bound(LATER, rounds)
-    rows = sums(slopes, LATER)
+    limits["gap_bound_round_tokens"] = _gap_bound(TARGET_FLEET, rounds)
+    rows = cost_terms(slopes, TARGET_FLEET)
     print(table(slopes, limits))
-    print(arithmetic(rows))
+    print(format_cost_terms(rows))
     print(json.dumps(line(slopes, limits, rows)))
 
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
@@ -16,13 +16,13 @@
 from fulmarroad_bench._layout import Layout, ServerRow, WorkspaceRow
 from fulmarroad_bench._load import Balancer, Callers, CallPlan, CallResult
 from fulmarroad_bench._processes import (
-    Bed,
+    LocalFleet,
     Processes,
     free_ports,
     processes,
     router_rows,
     run_main,
-    start_bed,
+    start_local_fleet,
 )
 
 CENTRES = ("north", "middle", "south")
@@ -65,20 +65,20 @@
 class Demo:
     """Drive the fleet through its three phases."""
 
-    bed: Bed
+    local_fleet: LocalFleet
     rng: random.Random = field(factory=lambda: random.Random(1))
     callers: Callers = field(factory=Callers)
-    left_at: float = 0.0
-    back_at: float = 0.0
+    removed_at: float = 0.0
+    restored_at: float = 0.0
     over: bool = False
     _count: int = 0
 
     async def run(self) -> None:
         """Send calls while the data centre leaves and returns."""
-        addresses = {row.name: row.address for row in self.bed.layout.routers}
+        addresses = {row.name: row.address for row in self.local_fleet.layout.routers}
         balancer = Balancer(addresses, self.rng)
         async with anyio.create_task_group() as group:
-            for workspace in self.bed.layout.workspaces:
+            for workspace in self.local_fleet.layout.workspaces:
                 for _ in range(CALLERS[workspace.name]):
                     group.start_soon(self._caller, workspace, balancer)
             await self._phases()
@@ -89,12 +89,12 @@
         say(f"Twelve callers of {len(CALLERS)} workspaces begin; engines are cold.")
         await anyio.sleep(PHASE_S)
         say(f"Operators take data centre {LEAVING!r} out: table version 2.")
-        self.left_at = time.monotonic()
-        await self.bed.put_tables(2, out=[LEAVING])
+        self.removed_at = time.monotonic()
+        await self.local_fleet.put_tables(2, out=[LEAVING])
         await anyio.sleep(PHASE_S)
         say(f"They bring {LEAVING!r} back: table version 3.")
-        self.back_at = time.monotonic()
-        await self.bed.put_tables(3)
+        self.restored_at = time.monotonic()
+        await self.local_fleet.put_tables(3)
         await anyio.sleep(RETURN_S)
 
     async def _caller(self, workspace: WorkspaceRow, balancer: Balancer) -> None:
@@ -122,7 +122,9 @@
             await self._send(evolve(plan, first_attempt=False), balancer)
 
     async def _send(self, plan: CallPlan, balancer: Balancer) -> CallResult:
-        result = await self.callers.send(plan, balancer.order_for(plan.workspace))
+        result = await self.callers.send(
+            plan, balancer.ranked_addresses(plan.workspace)
+        )
         if result.outcome not in ("completed", "left"):
             # A caller that is turned away waits a little, as Retry-After asks.
             await anyio.sleep(0.5)
@@ -139,7 +141,7 @@
             tokens=tokens,
             hint=tokens * 2,
             prompt=f"Letter of {workspace.name}. " + "Please pay in time. " * 10,
-            leave_after=3 if leaves else None,
+            disconnect_after_chunks=3 if leaves else None,
         )
 
     def _next_id(self, workspace: WorkspaceRow) -> str:
@@ -163,20 +165,23 @@
 
 async def _run(starter: Processes) -> int:
     say("Starting stand-ins: a platform, three model engines, three ledgers.")
-    bed = await start_bed(demo_layout(), starter)
+    local_fleet = await start_local_fleet(demo_layout(), starter)
     say("Starting three routers, one for each data centre.")
-    await bed.start_routers()
-    demo = Demo(bed)
+    await local_fleet.start_routers()
+    demo = Demo(local_fleet)
     await demo.run()
-    engines, plains = await bed.engine_reports(), await bed.plain_reports()
+    engines, plains = (
+        await local_fleet.engine_reports(),
+        await local_fleet.plain_reports(),
+    )
     results = demo.callers.results
     checks = check(results, engines, plains)
     reports = [report for report in engines if report["name"].endswith(LEAVING)]
-    starts = starts_in(reports, demo.left_at, demo.back_at)
-    last_s = starts[-1] - demo.left_at if starts else 0.0
-    again = len(starts_in(reports, demo.back_at, time.monotonic()))
+    starts = starts_in(reports, demo.removed_at, demo.restored_at)
+    last_s = starts[-1] - demo.removed_at if starts else 0.0
+    again = len(starts_in(reports, demo.restored_at, time.monotonic()))
     await starter.stop_all()
-    codes = [child.process.returncode for child in bed.routers.values()]
+    codes = [child.process.returncode for child in local_fleet.routers.values()]
     _tell(results, checks, last_s, again, codes)
     held = checks.held and last_s <= LEAVE_WITHIN_S and again > 0
     held = held and all(code == 0 for code in codes) and _served(results)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/engine.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/engine.py
@@ -38,10 +38,10 @@
 )
 from fulmarroad_bench._engine_answer import (
     EngineRecord,
-    Running,
+    RunningRequest,
     StreamWriter,
+    send_complete_answer,
     send_error,
-    send_whole,
 )
 from fulmarroad_bench._engine_model import (
     BatchModel,
@@ -49,17 +49,21 @@
     EngineRefusedError,
     Job,
 )
-from fulmarroad_bench._house import answer_control, as_tuple, run_house
 from fulmarroad_bench._server import (
     Call,
-    CallerLeftError,
+    CallerDisconnectedError,
     Listener,
     Receive,
     Scope,
     Send,
     read_call,
     respond_json,
-    wait_for_leaving,
+    wait_for_disconnect,
+)
+from fulmarroad_bench._standin_host import (
+    as_tuple,
+    handle_control_request,
+    run_standins,
 )
 
 TICK_S = 0.01
@@ -99,7 +103,7 @@
     refused: int = 0
     refusing: bool = False
     listener: Listener | None = None
-    _running: dict[int, Running] = field(factory=dict)
+    _running: dict[int, RunningRequest] = field(factory=dict)
     _breaks: deque[int] = field(factory=deque)
     _loads: deque[tuple[float, dict[str, Any]]] = field(factory=deque)
     _event_times: list[float] = field(factory=list)
@@ -112,7 +116,7 @@
         """Answer one call on the data port."""
         try:
             call = await read_call(scope, receive)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             return
         if call.path == "/v1/chat/completions" and call.method == "POST":
             await self._complete(call, receive, send)
@@ -126,7 +130,7 @@
 
     async def control_app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the control port."""
-        await answer_control(self, scope, receive, send)
+        await handle_control_request(self, scope, receive, send)
 
     async def control(self, order: dict[str, Any]) -> None:
         """Obey an order of the scenario.
@@ -141,7 +145,7 @@
         for _ in range(int(order.get("break_streams", 0))):
             self._breaks.append(int(order.get("after_tokens", 3)))
         if order.get("cold"):
-            self._break_all(self.model.turn_cold())
+            self._break_all(self.model.reset_to_cold())
         if "die" in order:
             await self._set_dead(bool(order["die"]))
 
@@ -234,7 +238,7 @@
 
     def _admit(
         self, request_id: str, body: dict[str, Any], call: Call, tokens: int, start: int
-    ) -> Running | None:
+    ) -> RunningRequest | None:
         workspace = (body.get("metadata") or {}).get("workspace", "")
         workspace = workspace or call.headers.get(WORKSPACE_HEADER, "")
         words = prompt_words(body)
@@ -250,33 +254,33 @@
             record.end = now
             return None
         self._note_cache_events(now)
-        running = Running(job, record, len(self.records) - 1)
+        running = RunningRequest(job, record, len(self.records) - 1)
         self._running[job.job_id] = running
         if self._breaks:
             running.break_at = start + self._breaks.popleft()
         if self.model.overloaded_cold():
-            self._break_all(self.model.fall_over())
+            self._break_all(self.model.crash())
         return running
 
     async def _watch(
-        self, running: Running, receive: Receive, scope: anyio.CancelScope
+        self, running: RunningRequest, receive: Receive, scope: anyio.CancelScope
     ) -> None:
-        await wait_for_leaving(receive)
+        await wait_for_disconnect(receive)
         if running.record.state == "running" and not running.broken:
             running.record.state = "cancelled"
         scope.cancel()
 
     async def _answer(
-        self, running: Running, body: dict[str, Any], request_id: str, send: Send
+        self, running: RunningRequest, body: dict[str, Any], request_id: str, send: Send
     ) -> None:
         if body.get("stream"):
             await StreamWriter(running, body, request_id, send).send_all()
         else:
-            await send_whole(running, body, request_id, send)
+            await send_complete_answer(running, body, request_id, send)
         if not running.broken:
             running.record.state = "completed"
 
-    def _end(self, running: Running) -> None:
+    def _end(self, running: RunningRequest) -> None:
         self._running.pop(running.job.job_id, None)
         self.model.remove(running.job)
         running.record.end = self.clock()
@@ -293,7 +297,7 @@
     async def _set_dead(self, dead: bool) -> None:
         self.model.down = dead
         if dead:
-            self._break_all(self.model.turn_cold())
+            self._break_all(self.model.reset_to_cold())
         if self.listener is None:
             return
         if dead:
@@ -339,7 +343,7 @@
     """
     known = EngineProfile(**profile)  # type: ignore[arg-type]
     engines = [Engine(each, known) for each in as_tuple(name)]
-    run_house(engines, [int(each) for each in as_tuple(port)], control_port)
+    run_standins(engines, [int(each) for each in as_tuple(port)], control_port)
 
 
 if __name__ == "__main__":
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
@@ -20,11 +20,16 @@
 from attrs import define, evolve, field, frozen
 
 from fulmarroad.types import ServerName, WorkspaceName
-from fulmarroad_bench._lab_day import LabDay, Outcome, summary
-from fulmarroad_bench._lab_engine import EngineShape, LabCall, LabEngine
-from fulmarroad_bench._lab_processor import CARRY_S, LOOK_S, READ_S, Processor
+from fulmarroad_bench._lab_day import CallOutcome, SimulatedDay, summary
+from fulmarroad_bench._lab_engine import EngineShape, SimulatedCall, SimulatedEngine
+from fulmarroad_bench._lab_processor import (
+    FORWARD_COST_S,
+    PLACEMENT_COST_S,
+    READ_COST_S,
+    Processor,
+)
 from fulmarroad_bench._lab_report import write_report
-from fulmarroad_bench._lab_traffic import REMINDERS, CallClass, Sheet, arrivals
+from fulmarroad_bench._lab_traffic import REMINDERS, CallClass, Workload, arrivals
 from fulmarroad_serving import (
     PLACEMENTS,
     CallerLimits,
@@ -41,7 +46,7 @@
     placement_named,
 )
 from fulmarroad_serving import EngineProfile as Profile
-from fulmarroad_serving._fingerprints import draw_of, fingerprint_of
+from fulmarroad_serving._fingerprints import fingerprint_of, hash_fraction_of
 from fulmarroad_serving._holding import HeldCalls
 from fulmarroad_serving._load import PeerLoad
 from fulmarroad_serving._routing import PartId
@@ -53,7 +58,7 @@
 WAY_S = 0.0015
 """One way between a router and an engine."""
 
-RETURNS = 1
+MAX_RETRIES = 1
 """Times that a caller comes back after a refusal."""
 
 THROUGHPUT = 455_000.0
@@ -64,13 +69,13 @@
 """Time at which engines started: long before the day."""
 
 
-PickRouter = Callable[[LabCall, int], int]
+PickRouter = Callable[[SimulatedCall, int], int]
 """Return the number of the router that a call comes to, of so many."""
 
 
-def spread_calls(call: LabCall, routers: int) -> int:
+def pick_round_robin(call: SimulatedCall, routers: int) -> int:
     """Let calls come to all routers in turn, and return to another one."""
-    return (call.number + 3 * call.returns) % routers
+    return (call.number + 3 * call.retries) % routers
 
 
 @define
@@ -85,14 +90,14 @@
 
     def is_busy(self, kind: CallKind) -> bool:
         """Tell whether a call is one too many for the processor."""
-        return self.processor is not None and self.processor.guard.turns_away(kind)
+        return self.processor is not None and self.processor.guard.should_shed(kind)
 
 
 @define
 class _Waiting:
     """Hold a call that looks for a place at a router."""
 
-    call: LabCall
+    call: SimulatedCall
     demand: Demand
     router: _Router
     since: float
@@ -112,17 +117,17 @@
 class _Run:
     """Drive one day."""
 
-    sheet: Sheet
+    workload: Workload
     policy: str
     seed: int
-    pick_router: PickRouter = spread_calls
-    news_s: float = 0.0  # on their way between routers
+    pick_router: PickRouter = pick_round_robin
+    report_delay_s: float = 0.0  # on their way between routers
     routers: list[_Router] = field(factory=list)
-    engines: dict[str, LabEngine] = field(factory=dict)
+    engines: dict[str, SimulatedEngine] = field(factory=dict)
     tickets: dict[int, tuple[_Router, Ticket]] = field(factory=dict)
     stepping: set[str] = field(factory=set)
     known: set[str] = field(factory=set)
-    outcomes: list[Outcome] = field(factory=list)
+    outcomes: list[CallOutcome] = field(factory=list)
     samples: list[tuple[float, int, float]] = field(factory=list)
     now: float = 0.0
     _heap: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
@@ -131,8 +136,8 @@
     def at(self, when: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._heap, (when, next(self._number), act))
 
-    def play(self) -> None:
-        for call in arrivals(self.sheet, self.seed):
+    def simulate(self) -> None:
+        for call in arrivals(self.workload, self.seed):
             self.at(call.arrived, lambda call=call: self.arrive(call))  # type: ignore[misc]
         self.at(0.0, self.exchange)
         while self._heap:
@@ -146,13 +151,13 @@
                 sender,
                 sender.dispatcher.own_load(),
                 sender.dispatcher.shares.own_counts(self.now),
-                sender.dispatcher.parts.news(40),
+                sender.dispatcher.parts.pop_updates(40),
             )
             for sender in self.routers
         ]
         written_at = self.now
-        if self.news_s:
-            self.at(self.now + self.news_s, lambda: self.hear(told, written_at))
+        if self.report_delay_s:
+            self.at(self.now + self.report_delay_s, lambda: self.hear(told, written_at))
         else:
             self.hear(told, written_at)
         waiting = sum(len(row.waiting) for row in self.engines.values())
@@ -160,7 +165,7 @@
             row.memory_used / row.shape.memory_tokens for row in self.engines.values()
         )
         self.samples.append((self.now, waiting, used / len(self.engines)))
-        if self.now < self.sheet.seconds + 10.0:
+        if self.now < self.workload.seconds + 10.0:
             self.at(self.now + REPORT_S, self.exchange)
 
     def hear(self, told: Sequence[_Told], written_at: float) -> None:
@@ -170,20 +175,20 @@
             for other in self.routers:
                 if other is row.sender:
                     continue
-                other.dispatcher.hear_load(name, row.loads, written_at)
-                other.dispatcher.shares.hear(name, row.counts, written_at)
+                other.dispatcher.receive_load(name, row.loads, written_at)
+                other.dispatcher.shares.receive_counts(name, row.counts, written_at)
                 for part, server in row.parts:
                     other.dispatcher.parts.note(part, server, self.now)
 
-    def kind(self, call: LabCall) -> CallClass:
-        return next(row for row in self.sheet.classes if row.name == call.kind)
+    def kind(self, call: SimulatedCall) -> CallClass:
+        return next(row for row in self.workload.classes if row.name == call.kind)
 
-    def arrive(self, call: LabCall) -> None:
+    def arrive(self, call: SimulatedCall) -> None:
         router = self.routers[self.pick_router(call, len(self.routers))]
-        read_at = router.work(READ_S, self.now)
+        read_at = router.work(READ_COST_S, self.now)
         self.at(read_at, lambda: self.decide(call, router))
 
-    def decide(self, call: LabCall, router: _Router) -> None:
+    def decide(self, call: SimulatedCall, router: _Router) -> None:
         """Take a call on, or turn it away."""
         demand = Demand(
             f"c{call.number}",
@@ -217,12 +222,12 @@
             self.send(waiting, placed)
             return
         router.held.count += 1
-        pause_s = router.held.next_look_s(placed, objective_s, held_s)
+        pause_s = router.held.next_poll_s(placed, objective_s, held_s)
         if pause_s is None:
             router.held.count -= 1
             self.refuse(waiting.call, placed.retry_after_s)
             return
-        due = max(self.now + pause_s, router.work(LOOK_S, self.now))
+        due = max(self.now + pause_s, router.work(PLACEMENT_COST_S, self.now))
         self.at(due, lambda: self.look_again(waiting))
 
     def look_again(self, waiting: _Waiting) -> None:
@@ -235,17 +240,18 @@
         self.tickets[call.number] = (router, ticket)
         server = placed.choice.server
         self.at(
-            router.work(CARRY_S, self.now) + WAY_S, lambda: self.reach(call, server)
+            router.work(FORWARD_COST_S, self.now) + WAY_S,
+            lambda: self.reach(call, server),
         )
 
-    def refuse(self, call: LabCall, retry_after_s: float) -> None:
-        if call.returns >= RETURNS:
-            self.outcomes.append(Outcome(call, "refused", self.now))
+    def refuse(self, call: SimulatedCall, retry_after_s: float) -> None:
+        if call.retries >= MAX_RETRIES:
+            self.outcomes.append(CallOutcome(call, "refused", self.now))
             return
-        call.returns += 1
+        call.retries += 1
         self.at(self.now + retry_after_s, lambda: self.arrive(call))
 
-    def reach(self, call: LabCall, server: str) -> None:
+    def reach(self, call: SimulatedCall, server: str) -> None:
         if not self.engines[server].admit(call):
             router, ticket = self.tickets.pop(call.number)
             router.dispatcher.end(ticket, SendOutcome.NOT_RUN, self.now)
@@ -267,41 +273,41 @@
             self.at(end + WAY_S, lambda call=call: self.finish(call))  # type: ignore[misc]
         self.at(end, lambda: self.step(server))
 
-    def begin(self, call: LabCall) -> None:
+    def begin(self, call: SimulatedCall) -> None:
         router, ticket = self.tickets[call.number]
         router.dispatcher.begin(ticket, self.now)
         on_time = self.now - call.arrived <= self.kind(call).objective_s
         ended = "on time" if on_time else "late"
-        self.outcomes.append(Outcome(call, ended, self.now))
+        self.outcomes.append(CallOutcome(call, ended, self.now))
 
-    def finish(self, call: LabCall) -> None:
+    def finish(self, call: SimulatedCall) -> None:
         router, ticket = self.tickets.pop(call.number)
         router.dispatcher.end(ticket, None, self.now)
 
 
-def _draw(call: LabCall) -> float:
+def _draw(call: SimulatedCall) -> float:
     number = call.number.to_bytes(8, "big")
-    return draw_of(fingerprint_of(call.workspace, "", "", number, b""))
+    return hash_fraction_of(fingerprint_of(call.workspace, "", "", number, b""))
 
 
-def play(
-    sheet: Sheet,
+def simulate(
+    workload: Workload,
     policy: str,
     seed: int,
     *,
     routers: int = 7,
     engines: int = 5,
     shape: EngineShape | None = None,
-    pick_router: PickRouter = spread_calls,
-    news_s: float = 0.0,
+    pick_router: PickRouter = pick_round_robin,
+    report_delay_s: float = 0.0,
     cores: Sequence[float] = (),
-) -> LabDay:
+) -> SimulatedDay:
     """Play one day with one policy.
 
-    News between routers take `news_s` seconds. `cores` are those of the routers'
-    processors; without them the routers' work takes no time.
+    News between routers take `report_delay_s` seconds. `cores` are those of the
+    routers' processors; without them the routers' work takes no time.
     """
-    run = _Run(sheet, policy, seed, pick_router, news_s)
+    run = _Run(workload, policy, seed, pick_router, report_delay_s)
     service = Service(SERVICE, engine=Profile(128))
     catalog = Catalog(
         1,
@@ -309,7 +315,7 @@
         limits=CallerLimits(units_per_s=THROUGHPUT * engines / 5),
     )
     names = [f"e{number}" for number in range(engines)]
-    run.engines = {name: LabEngine(shape or EngineShape()) for name in names}
+    run.engines = {name: SimulatedEngine(shape or EngineShape()) for name in names}
     for number in range(routers):
         choose = placement_named(policy)
         dispatcher = Dispatcher(f"r{number}", "fes", FleetBounds(), number, choose)
@@ -320,14 +326,14 @@
             dispatcher.registry.put(instance, SETTLED_S)
         processor = Processor(cores[number]) if cores else None
         run.routers.append(_Router(dispatcher, processor=processor))
-    run.play()
-    return LabDay(
+    run.simulate()
+    return SimulatedDay(
         policy,
         seed,
         tuple(run.outcomes),
         tuple(run.samples),
         sum(row.read_tokens for row in run.engines.values()),
-        sum(row.read_again for row in run.engines.values()),
+        sum(row.reread_tokens for row in run.engines.values()),
     )
 
 
@@ -340,7 +346,7 @@
     rows, days = [], []
     for policy in policies.split(",") if isinstance(policies, str) else policies:
         for seed in range(1, seeds + 1):
-            day = play(REMINDERS, policy, seed)
+            day = simulate(REMINDERS, policy, seed)
             rows.append(summary(REMINDERS, day))
             days.append(day)
             shown = {key: rows[-1][key] for key in rows[-1] if not key.startswith("by")}
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/losses.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/losses.py
@@ -36,7 +36,7 @@
 )
 
 ON_TIME = "on_time"
-TRIED_AGAIN = "late_tried_again"
+RETRIED = "late_tried_again"
 EXPECTED_LATE = "late_as_expected"
 MISJUDGED = "late_misjudged"
 ABOVE_SHARE = "refused_above_share"
@@ -82,7 +82,7 @@
             yield row
 
 
-def end_of(row: Mapping[str, Any]) -> str:
+def outcome_of(row: Mapping[str, Any]) -> str:
     """Return how a call ended, with the cause where it was not on time."""
     outcome, objective_s = row["outcome"], row["objective_s"]
     if outcome == RefusalReason.ABOVE_SHARE:
@@ -94,7 +94,7 @@
     if row["first_s"] <= objective_s:
         return ON_TIME
     if row["sends"] > 1:
-        return TRIED_AGAIN
+        return RETRIED
     expected_s = row.get("held_s", 0.0) + row["expected_s"]
     return EXPECTED_LATE if expected_s > objective_s else MISJUDGED
 
@@ -120,7 +120,7 @@
             "size": size_of(row),
             "second": f"{arrived // SECONDS_EACH * SECONDS_EACH:8.0f}",
         }
-        end = end_of(row)
+        end = outcome_of(row)
         for name, key in keys.items():
             group = groups[name].setdefault(key, Group())
             group.ends[end] += 1
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
@@ -21,15 +21,15 @@
 from fulmarroad.exceptions import FulmarroadError
 from fulmarroad_bench._client import Answer, call
 from fulmarroad_bench._layout import Layout, ServerRow, WorkspaceRow
-from fulmarroad_bench._load import CallPlan, judge
+from fulmarroad_bench._load import CallPlan, classify_call
 from fulmarroad_bench._processes import (
-    Bed,
+    LocalFleet,
     ProcessError,
     free_ports,
     processes,
     router_rows,
     run_main,
-    start_bed,
+    start_local_fleet,
 )
 
 CENTRE = "centre-1"
@@ -131,7 +131,7 @@
     async def _call(self, plan: CallPlan) -> TimedAnswer:
         answer = TimedAnswer()
         await call(self._address, plan.request(), answer=answer)
-        if judge(plan, answer).outcome != "completed":
+        if classify_call(plan, answer).outcome != "completed":
             raise ProcessError(
                 f"{self._address} did not answer {plan.id} well: {answer.status}.",
                 hint=bytes(answer.body[:300]).decode(errors="replace"),
@@ -168,10 +168,10 @@
     return statistics.median(late) * 1000
 
 
-async def measure(bed: Bed) -> dict[str, float]:
+async def measure(local_fleet: LocalFleet) -> dict[str, float]:
     """Return every figure, direct and through the router."""
-    layout = bed.layout
-    pids = {child.name: child.pid for child in bed.starter.children}
+    layout = local_fleet.layout
+    pids = {child.name: child.pid for child in local_fleet.starter.children}
     router = layout.routers[0].address
     plain_direct = Meter("direct", layout.plains[0].address, [pids["plains"]])
     engine_direct = Meter("direct", layout.engines[0].address, [pids["engines"]])
@@ -185,7 +185,7 @@
         line[f"calls_per_core_{name}"] = per_core
     for name, meter in (("direct", engine_direct), ("routed", routed)):
         came, per_core = await meter.streams()
-        report = (await bed.engine_reports())[0]
+        report = (await local_fleet.engine_reports())[0]
         line[f"chunk_ms_{name}"] = chunk_ms(came, report)
         line[f"chunks_per_core_{name}"] = per_core
     return ratios(line)
@@ -207,11 +207,11 @@
     """Start the processes and measure."""
     profile = {"batch": 64, "tokens_per_s": TOKENS_PER_S, "warm_tokens": 0.0}
     async with processes() as starter:
-        bed = await start_bed(
+        local_fleet = await start_local_fleet(
             bench_layout(), starter, profile=profile, plain_service_s=0.0
         )
-        await bed.start_routers()
-        return await measure(bed)
+        await local_fleet.start_routers()
+        return await measure(local_fleet)
 
 
 def main() -> None:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/plain.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/plain.py
@@ -24,11 +24,10 @@
     WORKSPACE_HEADER,
     plain_answer,
 )
-from fulmarroad_bench._house import answer_control, as_tuple, run_house
 from fulmarroad_bench._server import (
-    BreakOffError,
+    AbortConnectionError,
     Call,
-    CallerLeftError,
+    CallerDisconnectedError,
     Listener,
     Receive,
     Scope,
@@ -37,7 +36,12 @@
     respond,
     respond_json,
     start_message,
-    wait_for_leaving,
+    wait_for_disconnect,
+)
+from fulmarroad_bench._standin_host import (
+    as_tuple,
+    handle_control_request,
+    run_standins,
 )
 
 SERVICE_S = 0.02
@@ -78,7 +82,7 @@
         """Answer one call on the data port."""
         try:
             call = await read_call(scope, receive)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             return
         if self.refusing:
             self.refused += 1
@@ -87,7 +91,7 @@
         record = self._record(call)
         if self.hanging:
             record.state = "hung"
-            await wait_for_leaving(receive)
+            await wait_for_disconnect(receive)
             return
         await anyio.sleep(self.service_s * self.slow)
         await self._answer(call, record, send)
@@ -99,7 +103,7 @@
 
     async def control_app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the control port."""
-        await answer_control(self, scope, receive, send)
+        await handle_control_request(self, scope, receive, send)
 
     async def control(self, order: dict[str, Any]) -> None:
         """Obey an order of the scenario.
@@ -151,7 +155,7 @@
         await send(
             {"type": "http.response.body", "body": body[:after], "more_body": True}
         )
-        raise BreakOffError
+        raise AbortConnectionError
 
     async def _set_dead(self, dead: bool) -> None:
         assert self.listener is not None
@@ -178,7 +182,7 @@
 
     """
     services = [PlainService(each, service_s) for each in as_tuple(name)]
-    run_house(services, [int(each) for each in as_tuple(port)], control_port)
+    run_standins(services, [int(each) for each in as_tuple(port)], control_port)
 
 
 if __name__ == "__main__":
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/platform.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/platform.py
@@ -21,10 +21,9 @@
 import tomli_w
 from attrs import define, field
 
-from fulmarroad_bench._house import run_house
 from fulmarroad_bench._server import (
     Call,
-    CallerLeftError,
+    CallerDisconnectedError,
     Listener,
     Receive,
     Scope,
@@ -33,6 +32,7 @@
     respond,
     respond_json,
 )
+from fulmarroad_bench._standin_host import run_standins
 
 TOML = "application/toml"
 LONGEST_WAIT_S = 60.0
@@ -101,7 +101,7 @@
         """Answer one call on the data port."""
         try:
             call = await read_call(scope, receive)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             return
         self.calls[call.path.split("/")[1]] += 1
         self.call_times.append(time.monotonic())
@@ -198,7 +198,7 @@
         control_port: port for control and records.
 
     """
-    run_house([Platform()], [int(port)], control_port)
+    run_standins([Platform()], [int(port)], control_port)
 
 
 if __name__ == "__main__":
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
@@ -11,7 +11,7 @@
 import fire
 
 from fulmarroad.exceptions import FulmarroadError
-from fulmarroad_bench._house import as_tuple
+from fulmarroad_bench._standin_host import as_tuple
 from fulmarroad_bench.runner import RESULTS, run_file
 
 SCENARIOS = Path("bench/scenarios")
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
@@ -19,29 +19,29 @@
 from fulmarroad.exceptions import ConfigurationError, FulmarroadError
 from fulmarroad.scheduling import gap_bound, spread_interval
 from fulmarroad_bench._client import Request, call
-from fulmarroad_bench._faults import FaultMaker
+from fulmarroad_bench._faults import FaultInjector
 from fulmarroad_bench._layout import Layout, ServerRow
 from fulmarroad_bench._load import Balancer, Callers
 from fulmarroad_bench._measures import PROMPT_COST, Run, measures
 from fulmarroad_bench._plots import draw
 from fulmarroad_bench._processes import (
-    Bed,
     Child,
+    LocalFleet,
     ProcessError,
     free_ports,
     processes,
     router_rows,
     run_main,
-    start_bed,
+    start_local_fleet,
 )
 from fulmarroad_bench._scenario import Scenario, load_scenario
 from fulmarroad_bench._traffic import (
-    MOST_COMMON_WORDS,
+    MAX_SHARED_PREFIX_WORDS,
     Traffic,
     workspace_names,
     workspace_rows,
 )
-from fulmarroad_bench._versions import VersionSeen, reverts
+from fulmarroad_bench._versions import VersionObservation, find_reverts
 
 RESULTS = Path("bench/results")
 POLICIES = ("fleet", "local", "fifo")
@@ -103,7 +103,7 @@
     """Run a scenario on a fleet that is up."""
 
     scenario: Scenario
-    bed: Bed
+    local_fleet: LocalFleet
     seed: int
     callers: Callers = field(factory=Callers)
     before: dict[str, Mapping[str, Any]] = field(factory=dict)
@@ -112,8 +112,8 @@
     cpu_after: dict[str, float] = field(factory=dict)
     start: float = 0.0
     end: float = 0.0
-    versions: list[VersionSeen] = field(factory=list)
-    faults: FaultMaker = field(init=False)
+    versions: list[VersionObservation] = field(factory=list)
+    faults: FaultInjector = field(init=False)
     balancer: Balancer = field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -122,14 +122,14 @@
             for group in self.scenario.groups
             for name in workspace_names(group)
         }
-        addresses = {row.name: row.address for row in self.bed.layout.routers}
+        addresses = {row.name: row.address for row in self.local_fleet.layout.routers}
         self.balancer = Balancer(addresses, random.Random(self.seed), spread)
 
     async def run(self) -> None:
         """Warm up, measure, and let everything end."""
         traffic = Traffic(self.scenario, self.balancer, self.callers, self.seed)
         async with anyio.create_task_group() as group:
-            self.faults = FaultMaker(self.bed, self.balancer, group)
+            self.faults = FaultInjector(self.local_fleet, self.balancer, group)
             group.start_soon(self._watch_readiness)
             group.start_soon(traffic.run)
             await anyio.sleep(self.scenario.warm_s)
@@ -153,9 +153,9 @@
     async def _control(self) -> dict[str, Mapping[str, Any]]:
         """Return each router's own account of its control traffic."""
         found = {}
-        for name in list(self.bed.rows):
+        for name in list(self.local_fleet.rows):
             try:
-                control = (await self.bed.status(name)).get("control")
+                control = (await self.local_fleet.status(name)).get("control")
             except ProcessError:
                 continue
             if control:
@@ -163,16 +163,16 @@
         return found
 
     def _cpu(self) -> dict[str, float]:
-        for child in self.bed.starter.children:
+        for child in self.local_fleet.starter.children:
             child.sample()
-        used = {child.name: child.cpu_s for child in self.bed.starter.children}
+        used = {child.name: child.cpu_s for child in self.local_fleet.starter.children}
         return {**used, CALLERS: time.process_time()}
 
     async def _watch_readiness(self) -> None:
         """Pass over routers that aren't ready, as the platform's balancer does."""
         while True:
             async with anyio.create_task_group() as group:
-                for name, row in list(self.bed.rows.items()):
+                for name, row in list(self.local_fleet.rows.items()):
                     group.start_soon(self._look, name, row.admin_address)
             await anyio.sleep(READY_POLL_S)
 
@@ -183,8 +183,8 @@
             return
         self.balancer.unready.discard(name)
         with contextlib.suppress(ProcessError):
-            version = int((await self.bed.status(name))["table_version"])
-            self.versions.append(VersionSeen(time.monotonic(), name, version))
+            version = int((await self.local_fleet.status(name))["table_version"])
+            self.versions.append(VersionObservation(time.monotonic(), name, version))
 
 
 def control_measures(experiment: Experiment) -> dict[str, float | None]:
@@ -195,7 +195,7 @@
     spans, totals = 0.0, {"bytes": 0.0, "cpu_s": 0.0, "memory_bytes": 0.0}
     for name, after in experiment.after.items():
         before = experiment.before.get(name, NOTHING_YET)
-        began = max(experiment.start, experiment.bed.routers[name].started)
+        began = max(experiment.start, experiment.local_fleet.routers[name].started)
         spans += experiment.end - began
         for key in ("bytes_sent", "bytes_received"):
             totals["bytes"] += after[key] - before[key]
@@ -227,7 +227,7 @@
     """Return the bound of the fairness gap that the fleet's queue promises."""
     largest = max(
         max(group.tokens_high, group.long_tokens if group.long_share else 0)
-        + PROMPT_COST * (group.prompt_high + MOST_COMMON_WORDS)
+        + PROMPT_COST * (group.prompt_high + MAX_SHARED_PREFIX_WORDS)
         for group in scenario.groups
     )
     shards = len({row.data_centre for row in layout.engines})
@@ -239,7 +239,7 @@
         delay_s=TELL_DELAY_S,
         largest_cost=largest,
         estimate_error=largest,
-        least_weight=min(row.weight for row in layout.workspaces),
+        min_weight=min(row.weight for row in layout.workspaces),
     )
 
 
@@ -250,11 +250,16 @@
     layout = layout_of(scenario, routers)
     profile = attrs.asdict(scenario.engine)
     async with processes(directory) as starter:
-        bed = await start_bed(layout, starter, policy=policy, profile=profile)
-        await bed.start_routers()
-        experiment = Experiment(scenario, bed, seed)
+        local_fleet = await start_local_fleet(
+            layout, starter, policy=policy, profile=profile
+        )
+        await local_fleet.start_routers()
+        experiment = Experiment(scenario, local_fleet, seed)
         await experiment.run()
-        engines, plains = await bed.engine_reports(), await bed.plain_reports()
+        engines, plains = (
+            await local_fleet.engine_reports(),
+            await local_fleet.plain_reports(),
+        )
         await starter.stop_all()
     run = run_of(experiment, engines, plains)
     draw(run, experiment.faults.marks, directory)
@@ -274,7 +279,7 @@
 
 def run_of(experiment: Experiment, engines: Any, plains: Any) -> Run:
     """Return what was seen, for the measures."""
-    layout, faults = experiment.bed.layout, experiment.faults
+    layout, faults = experiment.local_fleet.layout, experiment.faults
     return Run(
         experiment.start,
         experiment.end,
@@ -283,33 +288,35 @@
         plains,
         {row.name: row.weight for row in layout.workspaces},
         {row.name: row.data_centre for row in (*layout.engines, *layout.plains)},
-        faults.left_centre,
-        faults.left_at,
-        faults.back_at,
+        faults.removed_centre,
+        faults.removed_at,
+        faults.restored_at,
     )
 
 
 def line_of(experiment: Experiment, run: Run, policy: str) -> dict[str, Any]:
     """Return the run's line of measures."""
     scenario, faults = experiment.scenario, experiment.faults
-    codes = [exit_code(child) for child in experiment.bed.routers.values()]
+    codes = [exit_code(child) for child in experiment.local_fleet.routers.values()]
     return {
         "scenario": scenario.name,
         "seed": experiment.seed,
         "policy": policy,
-        "routers": len(experiment.bed.layout.routers),
+        "routers": len(experiment.local_fleet.layout.routers),
         "servers": scenario.fleet.engines + scenario.fleet.plains,
         "seconds": round(run.end - run.start, 2),
         **measures(run),
         "fairness_gap_bound": round(
-            bound_of(scenario, experiment.bed.layout, run.engines), 1
+            bound_of(scenario, experiment.local_fleet.layout, run.engines), 1
         ),
         **control_measures(experiment),
-        "router_cpu_share": cpu_share(experiment, list(experiment.bed.routers)),
+        "router_cpu_share": cpu_share(experiment, list(experiment.local_fleet.routers)),
         "engines_cpu_share": cpu_share(experiment, ["engines"]),
         "callers_cpu_share": cpu_share(experiment, [CALLERS]),
-        "config_spread_s": round(max(faults.spreads), 3) if faults.spreads else None,
-        "config_reverts": len(reverts(experiment.versions)),
+        "config_spread_s": round(max(faults.propagation_times), 3)
+        if faults.propagation_times
+        else None,
+        "config_reverts": len(find_reverts(experiment.versions)),
         "bad_exits": sum(code != 0 for code in codes),
         "unfinished": experiment.callers.running,
     }
--- a/packages/fulmarroad-bench/tests/test_capacity.py
+++ b/packages/fulmarroad-bench/tests/test_capacity.py
@@ -11,10 +11,10 @@
 from fulmarroad.scheduling import gap_bound, spread_interval
 from fulmarroad_bench import _capacity_control as control
 from fulmarroad_bench import capacity
-from fulmarroad_bench._capacity_size import LATER
+from fulmarroad_bench._capacity_size import TARGET_FLEET
 from fulmarroad_bench._capacity_state import build_keys, build_store, run_probes
-from fulmarroad_bench._capacity_sums import Sum
-from fulmarroad_bench._slopes import fit, held_bytes
+from fulmarroad_bench._capacity_sums import CostTerm
+from fulmarroad_bench._slopes import allocated_bytes, fit
 
 
 class TestFit:
@@ -39,7 +39,7 @@
             bytearray(500_000)
             return bytearray(100_000)
 
-        assert 100_000 <= held_bytes(build) < 101_000
+        assert 100_000 <= allocated_bytes(build) < 101_000
 
 
 class TestSubjects:
@@ -55,7 +55,7 @@
             assert decode(encode(message)) == (message,)
 
     def test_more_of_a_thing_takes_more_memory(self):
-        few, many = (held_bytes(lambda n=n: build_store(n)) for n in (50, 150))
+        few, many = (allocated_bytes(lambda n=n: build_store(n)) for n in (50, 150))
         assert many > few + 100 * 100
 
     def test_keys_are_recorded(self):
@@ -69,15 +69,15 @@
 
 class TestSize:
     def test_arithmetic_of_the_later_fleet(self):
-        assert LATER.tokens_of_request == pytest.approx(206.45, abs=0.01)
-        assert LATER.running == pytest.approx(40_765, abs=1)
-        assert LATER.shards_of_pool == 24
-        assert LATER.backlogged_of_pool == 115
+        assert TARGET_FLEET.tokens_of_request == pytest.approx(206.45, abs=0.01)
+        assert TARGET_FLEET.running == pytest.approx(40_765, abs=1)
+        assert TARGET_FLEET.shards_of_pool == 24
+        assert TARGET_FLEET.backlogged_of_pool == 115
 
 
 class TestLine:
     def test_bounds_are_the_librarys(self):
-        limits = capacity.bounds(evolve(LATER, models=1, centres=1, servers=8))
+        limits = capacity.bounds(evolve(TARGET_FLEET, models=1, centres=1, servers=8))
         interval = spread_interval(0, 1600)
         assert limits["spread_interval_s"] == interval
         assert limits["gap_bound_tokens"] == gap_bound(
@@ -85,14 +85,14 @@
             shards=1,
             rate=640_000.0,
             interval_s=interval,
-            delay_s=LATER.delay_s,
-            largest_cost=LATER.largest_cost,
-            estimate_error=LATER.estimate_error,
+            delay_s=TARGET_FLEET.delay_s,
+            largest_cost=TARGET_FLEET.largest_cost,
+            estimate_error=TARGET_FLEET.estimate_error,
         )
 
     def test_names_every_slope(self):
         slopes = [fit("x", "thing", "B", (1, 2, 4), (13.0, 16.0, 22.0))]
-        limits = capacity.bounds(LATER)
+        limits = capacity.bounds(TARGET_FLEET)
         line = json.loads(json.dumps(capacity.line(slopes, limits, [])))
         assert set(line) == {"slopes", "size", "bounds", "totals", "limits"}
         assert line["slopes"]["x"]["each"] == pytest.approx(3)
@@ -102,11 +102,11 @@
 class TestSums:
     def test_a_total_beyond_its_limit_is_said_to_be_passed(self):
         rows = [
-            Sum("a", "sent", "x", "7,000 x 1", 7000.0),
-            Sum("a", "bytes", "y", "32e6 x 1", 32e6),
-            Sum("b", "bytes", "z", "1 x 1", 1.0),
+            CostTerm("a", "sent", "x", "7,000 x 1", 7000.0),
+            CostTerm("a", "bytes", "y", "32e6 x 1", 32e6),
+            CostTerm("b", "bytes", "z", "1 x 1", 1.0),
         ]
-        *_, sent, received, spent, held = capacity.arithmetic(rows).splitlines()
+        *_, sent, received, spent, held = capacity.format_cost_terms(rows).splitlines()
         assert sent.endswith("within")
         assert received.endswith("within")
         assert spent.endswith("within")
--- a/packages/fulmarroad-bench/tests/test_engine_model.py
+++ b/packages/fulmarroad-bench/tests/test_engine_model.py
@@ -87,7 +87,7 @@
         assert not model.overloaded_cold()
         model.admit(100, 0, ())
         assert model.overloaded_cold()
-        assert len(model.fall_over()) == 3
+        assert len(model.crash()) == 3
         with pytest.raises(EngineRefusedError):
             model.admit(100, 0, ())
         run(model, model.profile.recovery_s + 0.1)
--- a/packages/fulmarroad-bench/tests/test_lab.py
+++ b/packages/fulmarroad-bench/tests/test_lab.py
@@ -8,8 +8,14 @@
 from attrs import evolve
 
 from fulmarroad_bench import lab
-from fulmarroad_bench._lab_engine import EngineShape, LabCall, LabEngine
-from fulmarroad_bench._lab_traffic import REMINDERS, CallClass, Sheet, Surge, arrivals
+from fulmarroad_bench._lab_engine import EngineShape, SimulatedCall, SimulatedEngine
+from fulmarroad_bench._lab_traffic import (
+    REMINDERS,
+    CallClass,
+    Surge,
+    Workload,
+    arrivals,
+)
 
 SHORT = evolve(
     REMINDERS,
@@ -22,7 +28,7 @@
 
 
 def call(number=1, part="p", shared=9_000, own=1_000, output=3):
-    return LabCall(number, "letter", "w", part, shared, own, output, 0.0)
+    return SimulatedCall(number, "letter", "w", part, shared, own, output, 0.0)
 
 
 def run_out(engine, known):
@@ -34,13 +40,13 @@
 
 class TestEngine:
     def test_a_part_is_read_once(self):
-        engine, known = LabEngine(SHAPE), set()
+        engine, known = SimulatedEngine(SHAPE), set()
         engine.admit(call(1))
         first = run_out(engine, known)
         engine.admit(call(2))
         second = run_out(engine, known)
         assert engine.read_tokens == 11_000
-        assert engine.read_again == 0
+        assert engine.reread_tokens == 0
         begun = [
             next(n for n, row in enumerate(rows) if row.begun)
             for rows in (first, second)
@@ -50,23 +56,23 @@
     def test_another_engine_reads_it_again(self):
         known = set()
         for number in (1, 2):
-            engine = LabEngine(SHAPE)
+            engine = SimulatedEngine(SHAPE)
             engine.admit(call(number))
             run_out(engine, known)
-        assert engine.read_again == 9_000
+        assert engine.reread_tokens == 9_000
 
     def test_parts_go_when_memory_is_short(self):
-        engine, known = LabEngine(SHAPE), set()
+        engine, known = SimulatedEngine(SHAPE), set()
         for number in range(4):
             engine.admit(call(number, part=f"p{number}"))
             run_out(engine, known)
         assert engine.memory_used <= SHAPE.memory_tokens
         engine.admit(call(9, part="p0"))
         run_out(engine, known)
-        assert engine.read_again == 9_000
+        assert engine.reread_tokens == 9_000
 
     def test_a_full_engine_turns_calls_away(self):
-        engine = LabEngine(SHAPE)
+        engine = SimulatedEngine(SHAPE)
         assert [engine.admit(call(number)) for number in range(4)] == [
             True,
             True,
@@ -75,7 +81,7 @@
         ]
 
     def test_a_long_prompt_delays_the_answers_beside_it(self):
-        engine, known = LabEngine(SHAPE), set()
+        engine, known = SimulatedEngine(SHAPE), set()
         engine.admit(call(1, part="", own=1, output=50))
         engine.step(known)
         alone = engine.step(known).seconds
@@ -99,7 +105,7 @@
 @pytest.fixture(scope="module")
 def days():
     names = ("cached", "least_loaded", "prefix_only")
-    return {name: lab.play(SHORT, name, 1) for name in names}
+    return {name: lab.simulate(SHORT, name, 1) for name in names}
 
 
 class TestPlacements:
@@ -110,7 +116,7 @@
             assert len(numbers) == len(set(numbers)) == calls
 
     def test_a_day_repeats(self, days):
-        again = lab.play(SHORT, "cached", 1)
+        again = lab.simulate(SHORT, "cached", 1)
         assert lab.summary(SHORT, again) == lab.summary(SHORT, days["cached"])
 
     def test_counting_on_cached_parts_pays(self, days):
@@ -141,10 +147,10 @@
 HOT = "dossier-letter-0"
 
 
-def with_hot_part(sheet, seed):
+def with_hot_part(workload, seed):
     """Let a third of the letters ask for one part, as on the day of a new template."""
     source = random.Random(seed)
-    for row in arrivals(sheet, seed):
+    for row in arrivals(workload, seed):
         if row.kind == "dossier-letter" and source.random() < 0.35:
             row.part = HOT
         yield row
@@ -156,7 +162,7 @@
         moment reads a part that another one has, and calls that would have been served
         where their part is are turned away: more than a tenth of all reading was that.
         """
-        day = lab.summary(OVERLOAD, lab.play(OVERLOAD, "cached", 1))
+        day = lab.summary(OVERLOAD, lab.simulate(OVERLOAD, "cached", 1))
         assert day["read_again_part"] < 0.05
 
     def test_a_part_that_many_ask_for_is_read_by_more_engines(self, monkeypatch):
@@ -164,7 +170,7 @@
         where it is, its callers would be turned away beside engines with room.
         """
         monkeypatch.setattr(lab, "arrivals", with_hot_part)
-        day = lab.play(STEADY, "cached", 1, routers=10, engines=10)
+        day = lab.simulate(STEADY, "cached", 1, routers=10, engines=10)
         letters = [row for row in day.outcomes if row.call.kind == "dossier-letter"]
         ended = {
             hot: [
@@ -178,7 +184,7 @@
         assert on_time[True] > 0.9 * on_time[False]
 
 
-EQUAL = Sheet(
+EQUAL = Workload(
     (CallClass("letter", 500.0, 6_000, 6_000, 100, 0.5, 3.0, 0.3, 300),),
     workspaces=4,
     skew=0.0,
@@ -198,7 +204,7 @@
 
 
 def one_at_one_router(call, routers):
-    return 0 if call.workspace == "w00" else lab.spread_calls(call, routers)
+    return 0 if call.workspace == "w00" else lab.pick_round_robin(call, routers)
 
 
 class TestShares:
@@ -208,7 +214,7 @@
         routers look more often than one: the workspace would get a part of what others
         get, though it asks for as much.
         """
-        day = lab.play(
+        day = lab.simulate(
             EQUAL, "cached", 1, routers=16, engines=8, pick_router=one_at_one_router
         )
         begun = Counter(
@@ -225,14 +231,14 @@
         after a search for a place, they leave it no time for those that are not.
         """
         cores = [0.2] + [1.0] * 7
-        day = lab.play(
+        day = lab.simulate(
             EQUAL,
             "cached",
             2,
             routers=len(cores),
             engines=8,
             pick_router=one_at_one_router,
-            news_s=0.2,
+            report_delay_s=0.2,
             cores=cores,
         )
         calm = [row for row in day.outcomes if 2.0 < row.call.arrived < 6.0]
@@ -248,7 +254,9 @@
         much is asked as engines give. Workspaces that ask for a third of what the
         largest one does get less than half of it.
         """
-        day = lab.play(UNEQUAL, "cached", 2, routers=16, engines=10, news_s=0.2)
+        day = lab.simulate(
+            UNEQUAL, "cached", 2, routers=16, engines=10, report_delay_s=0.2
+        )
         calm = [row for row in day.outcomes if row.call.arrived > 3.0]
         asked = Counter(row.call.workspace for row in calm)
         got = Counter(row.call.workspace for row in calm if row.ended != "refused")
--- a/packages/fulmarroad-bench/tests/test_load.py
+++ b/packages/fulmarroad-bench/tests/test_load.py
@@ -10,7 +10,7 @@
 
 from fulmarroad_bench._answers import expected_answer, plain_answer
 from fulmarroad_bench._client import Answer, Request
-from fulmarroad_bench._load import Balancer, CallPlan, judge
+from fulmarroad_bench._load import Balancer, CallPlan, classify_call
 
 CHAT = CallPlan("r1", "atlas", "key", tokens=3)
 PLAIN = CallPlan("p1", "atlas", "key", kind="ledger")
@@ -24,14 +24,14 @@
     return ("\n\n".join(events) + "\n\n" + end).encode()
 
 
-def answer(status=200, body=b"", *, whole=True, ran="", connected=True):
+def answer(status=200, body=b"", *, complete=True, ran="", connected=True):
     headers = {"fulmarroad-ran": ran} if ran else {}
     return Answer(
         connected=connected,
         status=status,
         headers=headers,
         body=bytearray(body),
-        whole=whole,
+        complete=complete,
     )
 
 
@@ -48,42 +48,47 @@
         [
             (answer(body=RIGHT), "completed"),
             (answer(body=SHORT), "wrong"),
-            (answer(body=RIGHT, whole=False), "cut_off"),
-            (answer(body=OPEN, whole=False), "cut_off"),
+            (answer(body=RIGHT, complete=False), "cut_off"),
+            (answer(body=OPEN, complete=False), "cut_off"),
             (answer(body=ERROR), "cut_off"),
-            (answer(status=0, whole=False), "cut_off"),
-            (answer(status=503, whole=False, ran="not_run"), "cut_off"),
+            (answer(status=0, complete=False), "cut_off"),
+            (answer(status=503, complete=False, ran="not_run"), "cut_off"),
             (answer(status=503, ran="not_run"), "refused"),
             (answer(status=502, ran="unknown"), "unknown"),
             (answer(status=500), "failed"),
-            (answer(connected=False, status=0, whole=False), "unreachable"),
+            (answer(connected=False, status=0, complete=False), "unreachable"),
         ],
     )
     def test_a_stream(self, got, outcome):
-        assert judge(CHAT, got).outcome == outcome
+        assert classify_call(CHAT, got).outcome == outcome
 
     def test_an_answer_that_ends_early_as_if_whole_is_wrong(self):
         # A router loses its engine in the middle of an answer and ends the response
         # cleanly; the caller takes half a letter for a whole one.
-        assert judge(CHAT, answer(body=OPEN)).outcome == "wrong"
+        assert classify_call(CHAT, answer(body=OPEN)).outcome == "wrong"
 
     def test_an_answer_of_another_request_is_wrong(self):
         # Two answers are crossed; each is whole, and each reaches the wrong caller.
         other = CallPlan("r2", "atlas", "key", tokens=3)
-        assert judge(other, answer(body=RIGHT)).outcome == "wrong"
+        assert classify_call(other, answer(body=RIGHT)).outcome == "wrong"
 
     @pytest.mark.parametrize(
         ("body", "outcome"),
         [(plain_answer("p1", PLAIN.body()), "completed"), (b"{}", "wrong")],
     )
     def test_a_plain_call(self, body, outcome):
-        assert judge(PLAIN, answer(body=body)).outcome == outcome
+        assert classify_call(PLAIN, answer(body=body)).outcome == outcome
 
     def test_a_caller_that_leaves_has_right_text_so_far(self):
-        leaving = evolve(CHAT, leave_after=1)
-        assert judge(leaving, answer(body=OPEN, whole=False)).outcome == "left"
+        leaving = evolve(CHAT, disconnect_after_chunks=1)
+        assert (
+            classify_call(leaving, answer(body=OPEN, complete=False)).outcome == "left"
+        )
         crossed = stream_of("0000 ", end="")
-        assert judge(leaving, answer(body=crossed, whole=False)).outcome == "wrong"
+        assert (
+            classify_call(leaving, answer(body=crossed, complete=False)).outcome
+            == "wrong"
+        )
 
 
 class TestCallPlan:
@@ -109,14 +114,14 @@
 
     def test_a_workspace_is_seen_by_few_routers(self):
         balancer = self.balancer(spread={"atlas": 2})
-        first = {balancer.order_for("atlas")[0] for _ in range(50)}
-        others = {balancer.order_for("cedar")[0] for _ in range(50)}
+        first = {balancer.ranked_addresses("atlas")[0] for _ in range(50)}
+        others = {balancer.ranked_addresses("cedar")[0] for _ in range(50)}
         assert len(first) == 2
         assert len(others) > 2
 
     def test_a_router_that_is_not_ready_is_passed_over(self):
         balancer = self.balancer(unready={"router-0"})
         for _ in range(20):
-            order = balancer.order_for("atlas")
+            order = balancer.ranked_addresses("atlas")
             assert "address-0" not in order
             assert len(order) == 5
--- a/packages/fulmarroad-bench/tests/test_losses.py
+++ b/packages/fulmarroad-bench/tests/test_losses.py
@@ -38,7 +38,7 @@
             ({"first_s": 0.5}, losses.MISJUDGED),
             ({"first_s": 0.5, "expected_s": 0.45}, losses.EXPECTED_LATE),
             ({"first_s": 0.5, "held_s": 0.3}, losses.EXPECTED_LATE),
-            ({"first_s": 0.5, "sends": 2}, losses.TRIED_AGAIN),
+            ({"first_s": 0.5, "sends": 2}, losses.RETRIED),
             (REFUSED, losses.NO_PLACE),
             (REFUSED | {"share_used": 1.3}, losses.ABOVE_SHARE),
             ({"event": 502, "outcome": "timeout"}, "timeout"),
@@ -46,7 +46,7 @@
     )
     def test_each_call_has_one(self, change, end):
         (row,) = losses.read_lines(lines(change))
-        assert losses.end_of(row) == end
+        assert losses.outcome_of(row) == end
 
 
 class TestGroups:
--- a/packages/fulmarroad-bench/tests/test_measures.py
+++ b/packages/fulmarroad-bench/tests/test_measures.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from fulmarroad_bench._checks import check, doubled
-from fulmarroad_bench._gap import Served, fairness_gap
-from fulmarroad_bench._intervals import begun_later, intersected, merged, total
+from fulmarroad_bench._gap import ServiceEvent, fairness_gap
+from fulmarroad_bench._intervals import intersected, merged, total, trim_starts
 from fulmarroad_bench._load import CallResult
 from fulmarroad_bench._measures import (
-    HAND_OVER_S,
+    IDLE_TOLERANCE_S,
     Run,
     backlogged,
     gap_of,
@@ -22,12 +22,14 @@
     measures,
     utilisation,
 )
-from fulmarroad_bench._versions import VersionSeen, reverts
+from fulmarroad_bench._versions import VersionObservation, find_reverts
 
 TIMES = st.integers(0, 20).map(float)
 SPANS = st.lists(st.tuples(TIMES, TIMES), max_size=4).map(merged)
 SERVED = st.lists(
-    st.builds(Served, TIMES, st.sampled_from("abc"), st.sampled_from([1.0, 2.0, 7.0])),
+    st.builds(
+        ServiceEvent, TIMES, st.sampled_from("abc"), st.sampled_from([1.0, 2.0, 7.0])
+    ),
     max_size=12,
 )
 
@@ -63,18 +65,18 @@
         assert found.value == pytest.approx(brute_force_gap(served, backlog))
 
     def test_service_outside_a_common_backlog_does_not_count(self):
-        served = [Served(1.0, "a", 5.0), Served(3.0, "a", 2.0)]
+        served = [ServiceEvent(1.0, "a", 5.0), ServiceEvent(3.0, "a", 2.0)]
         backlog = {"a": [(0.0, 10.0)], "b": [(2.0, 10.0)]}
         gap = fairness_gap(served, backlog)
-        assert (gap.value, gap.more, gap.less) == (2.0, "a", "b")
+        assert (gap.value, gap.more_served, gap.less_served) == (2.0, "a", "b")
 
     def test_catching_up_counts_as_much_as_falling_behind(self):
         # A workspace that fell behind is given everything once its router hears of it;
         # seen from that moment the other one is crowded out.
-        served = [Served(1.0, "a", 3.0), Served(2.0, "b", 9.0)]
+        served = [ServiceEvent(1.0, "a", 3.0), ServiceEvent(2.0, "b", 9.0)]
         backlog = {"a": [(0.0, 5.0)], "b": [(0.0, 5.0)]}
         gap = fairness_gap(served, backlog)
-        assert (gap.value, gap.more) == (9.0, "b")
+        assert (gap.value, gap.more_served) == (9.0, "b")
 
 
 class TestIntervals:
@@ -87,7 +89,7 @@
             assert any(a < at < b for a, b in both) == all(inside)
 
     def test_a_late_beginning_drops_short_ones(self):
-        assert begun_later([(0.0, 1.0), (2.0, 5.0)], 2.0) == [(4.0, 5.0)]
+        assert trim_starts([(0.0, 1.0), (2.0, 5.0)], 2.0) == [(4.0, 5.0)]
         assert total([(0.0, 1.0), (2.0, 5.0)]) == 4.0
 
 
@@ -139,23 +141,23 @@
         results = [result("1", end=9.0), result("2", sent=2.0, end=9.0)]
         records = [record("1", start=0.0, end=8.0), record("2", start=6.0, end=8.0)]
         run = run_of(results, [engine(records)])
-        assert total(idle_while_waiting(run)) == pytest.approx(4.0 - HAND_OVER_S)
+        assert total(idle_while_waiting(run)) == pytest.approx(4.0 - IDLE_TOLERANCE_S)
 
     def test_a_server_taken_out_is_not_idle(self):
         results = [result("2", sent=2.0, end=9.0)]
         run = run_of(
             results,
             [engine([record("2", start=6.0)])],
-            left_centre="c1",
-            left_at=0.0,
-            back_at=10.0,
+            removed_centre="c1",
+            removed_at=0.0,
+            restored_at=10.0,
         )
         assert idle_while_waiting(run) == []
 
     def test_the_last_start_after_leaving_is_found(self):
         results = [result("1", sent=5.0), result("2", sent=5.0, outcome="refused")]
         records = [record("1", start=6.5)]
-        run = run_of(results, [engine(records)], left_centre="c1", left_at=4.0)
+        run = run_of(results, [engine(records)], removed_centre="c1", removed_at=4.0)
         line = measures(run)
         assert line["last_work_after_leave_s"] == 2.5
         assert line["served_while_leaving_share"] == 0.5
@@ -171,8 +173,10 @@
         ],
     )
     def test_a_router_behind_itself_or_long_behind_others_counts(self, sights, count):
-        seen = [VersionSeen(at, router, version) for router, at, version in sights]
-        assert len(reverts(seen)) == count
+        seen = [
+            VersionObservation(at, router, version) for router, at, version in sights
+        ]
+        assert len(find_reverts(seen)) == count
 
 
 class TestChecks:
--- a/packages/fulmarroad-bench/tests/test_scenarios.py
+++ b/packages/fulmarroad-bench/tests/test_scenarios.py
@@ -8,7 +8,7 @@
 
 from fulmarroad.exceptions import ConfigurationError
 from fulmarroad_bench._scenario import load_scenario, parse_scenario
-from fulmarroad_bench._traffic import CallMaker, workspace_names, workspace_rows
+from fulmarroad_bench._traffic import CallGenerator, workspace_names, workspace_rows
 
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 GROUP = {"name": "a", "callers": 2}
@@ -67,7 +67,7 @@
     def test_a_seed_gives_the_same_calls(self):
         scenario = parse_scenario("x", {"group": [GROUP]})
         row, group = workspace_rows(scenario)[0], scenario.groups[0]
-        one, same, other = (CallMaker(group, row, seed) for seed in (1, 1, 2))
+        one, same, other = (CallGenerator(group, row, seed) for seed in (1, 1, 2))
         calls = [maker.chat() for maker in (one, same, other)]
         assert calls[0] == calls[1] != calls[2]
 
--- a/packages/fulmarroad-bench/tests/test_standins.py
+++ b/packages/fulmarroad-bench/tests/test_standins.py
@@ -10,7 +10,7 @@
 
 from fulmarroad_bench._answers import expected_answer, plain_answer
 from fulmarroad_bench._engine_model import EngineProfile
-from fulmarroad_bench._server import BreakOffError
+from fulmarroad_bench._server import AbortConnectionError
 from fulmarroad_bench.engine import Engine
 from fulmarroad_bench.plain import PlainService
 from fulmarroad_bench.platform import Platform
@@ -183,7 +183,7 @@
         caller = caller_of(engine, chat("r1"))
         with pytest.raises(BaseExceptionGroup) as caught:
             await finish(engine, clock, caller)
-        assert caught.group_contains(BreakOffError)
+        assert caught.group_contains(AbortConnectionError)
         assert not caller.whole
         assert caller.body.count(b"data:") == 4
         assert engine.records[0].state == "broken"
@@ -265,7 +265,7 @@
         service = PlainService("l1", 0.0, clock)
         await service.control({"break_calls": 1, "after_bytes": 7})
         caller = Caller(service.app, "POST", "/post", b"{}", (("x-bench-id", "c1"),))
-        with pytest.raises(BreakOffError):
+        with pytest.raises(AbortConnectionError):
             await caller.call()
         assert len(caller.body) == 7
         assert not caller.whole
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_beliefs.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
@@ -28,7 +28,7 @@
 """Delay of the event loop from which a router turns callers away."""
 
 
-def gather(addresses: Iterable[str]) -> dict[str, Any]:
+def fetch_statuses(addresses: Iterable[str]) -> dict[str, Any]:
     """Return each router's answer by its address; an error where it gave none."""
     answers: dict[str, Any] = {}
     for address in addresses:
@@ -40,7 +40,7 @@
     return answers
 
 
-def differing(answers: Mapping[str, Any]) -> list[str]:
+def differing_fields(answers: Mapping[str, Any]) -> list[str]:
     """Return what the routers that answered do not agree on."""
     rows = [row for row in answers.values() if "error" not in row]
     found = []
@@ -54,12 +54,12 @@
     return found
 
 
-def belief_lines(answers: Mapping[str, Any]) -> Iterable[str]:
+def fleet_status_lines(answers: Mapping[str, Any]) -> Iterable[str]:
     """Yield what routers differ in, then a table with a line for each router.
 
     In a large fleet only those that stand out are listed, with the number of others.
     """
-    for name in differing(answers):
+    for name in differing_fields(answers):
         yield f"warning: the routers differ in their {name}"
     listed = answers
     if len(answers) > MOST_LISTED:
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
@@ -11,7 +11,7 @@
 from fulmarroad_ctl.exceptions import RouterError
 
 
-def tables_of(document: dict[str, Any]) -> Tables:
+def parse_router_tables(document: dict[str, Any]) -> Tables:
     """Return the tables of an admin port's answer; keys are only counted in it.
 
     Raise `RouterError` if the answer isn't understood.
@@ -27,7 +27,7 @@
         ) from error
 
 
-def with_counted_keys(tables: Tables) -> Tables:
+def with_key_counts(tables: Tables) -> Tables:
     """Return tables that can be compared with a router's, which hides the hashes."""
     workspaces = {
         name: evolve(row, key_sha256=(_counted(len(row.key_sha256)),))
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
@@ -11,7 +11,7 @@
 
 from fulmarroad.exceptions import ConfigurationError, FulmarroadError
 from fulmarroad_ctl.commands import Commands
-from fulmarroad_ctl.exceptions import EXIT_DONE, EXIT_INVALID
+from fulmarroad_ctl.exceptions import EXIT_INVALID, EXIT_OK
 
 OVERVIEW = """\
 fulmarroadctl: look after a fleet of fulmarroad routers.
@@ -50,12 +50,12 @@
     command = list(sys.argv[1:] if arguments is None else arguments)
     if not command or command[0] in _HELP:
         print(OVERVIEW, end="")
-        raise SystemExit(EXIT_DONE if command else EXIT_INVALID)
+        raise SystemExit(EXIT_OK if command else EXIT_INVALID)
     try:
         typed = [_as_typed(argument) for argument in command]
         fire.Fire(Commands(), command=typed, name="fulmarroadctl")
     except KeyboardInterrupt:
-        raise SystemExit(EXIT_DONE) from None
+        raise SystemExit(EXIT_OK) from None
     except FulmarroadError as error:
         _report(error, as_json="--json" in command)
         raise SystemExit(error.exit_code) from None
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
@@ -13,14 +13,18 @@
 from result import Err, Result
 
 from fulmarroad.tables import TableChange, Tables, diff_tables, servers_leaving
-from fulmarroad_ctl._beliefs import belief_lines, differing, gather
 from fulmarroad_ctl._client import AdminClient
 from fulmarroad_ctl._files import read_tables
+from fulmarroad_ctl._fleet_status import (
+    differing_fields,
+    fetch_statuses,
+    fleet_status_lines,
+)
 from fulmarroad_ctl._render import audit_line, explain_lines, status_lines
-from fulmarroad_ctl._router_tables import tables_of, with_counted_keys
+from fulmarroad_ctl._router_tables import parse_router_tables, with_key_counts
 from fulmarroad_ctl.exceptions import (
     EXIT_DIFFERS,
-    EXIT_ROUTER,
+    EXIT_ROUTER_ERROR,
     RouterError,
     UsageError,
 )
@@ -130,11 +134,11 @@
             json: print JSON.
 
         """
-        answers = gather(filter(None, routers.split(",")))
-        self._show({"routers": answers}, belief_lines(answers), json)
+        answers = fetch_statuses(filter(None, routers.split(",")))
+        self._show({"routers": answers}, fleet_status_lines(answers), json)
         if any("error" in row for row in answers.values()):
-            raise SystemExit(EXIT_ROUTER)
-        if differing(answers):
+            raise SystemExit(EXIT_ROUTER_ERROR)
+        if differing_fields(answers):
             raise SystemExit(EXIT_DIFFERS)
 
     def explain(
@@ -239,8 +243,8 @@
             old = read_tables(against_routes, against_pools)
         else:
             client = self._client(admin, token_file, settings)
-            old = tables_of(_answer(client.get("/tables")))
-            new = with_counted_keys(new)
+            old = parse_router_tables(_answer(client.get("/tables")))
+            new = with_key_counts(new)
         changes = diff_tables(old, new)
         leaving = servers_leaving(old, new)
         document = {
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/exceptions.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/exceptions.py
@@ -4,10 +4,10 @@
 
 from fulmarroad.exceptions import FulmarroadError
 
-EXIT_DONE = 0
+EXIT_OK = 0
 EXIT_DIFFERS = 1
 EXIT_INVALID = 2
-EXIT_ROUTER = 3
+EXIT_ROUTER_ERROR = 3
 
 
 class UsageError(FulmarroadError):
@@ -19,4 +19,4 @@
 class RouterError(FulmarroadError):
     """Report that a router gave no answer, or refused."""
 
-    exit_code = EXIT_ROUTER
+    exit_code = EXIT_ROUTER_ERROR
--- a/packages/fulmarroad-ctl/tests/test_ctl.py
+++ b/packages/fulmarroad-ctl/tests/test_ctl.py
@@ -13,7 +13,7 @@
 from attrs import asdict
 
 from fulmarroad.tables import parse_texts
-from fulmarroad_ctl._beliefs import belief_lines, differing
+from fulmarroad_ctl._fleet_status import differing_fields, fleet_status_lines
 from fulmarroad_ctl.cli import OVERVIEW, main
 from fulmarroad_ctl.commands import Commands
 
@@ -394,7 +394,7 @@
 
     def test_routers_that_agree_are_shown_without_a_warning(self):
         answers = {"h:1": self.answer(7), "h:2": self.answer(7)}
-        lines = list(belief_lines(answers))
+        lines = list(fleet_status_lines(answers))
         assert len(lines) == 3
         assert "1, 1 cold, 0 leaving" in lines[1]
 
@@ -403,8 +403,10 @@
         and nobody would see that from the others.
         """
         answers = {"h:1": self.answer(7), "h:2": self.answer(6, ("s-2",))}
-        assert differing(answers) == ["version", "servers"]
-        assert "warning: the routers differ in their version" in belief_lines(answers)
+        assert differing_fields(answers) == ["version", "servers"]
+        assert "warning: the routers differ in their version" in fleet_status_lines(
+            answers
+        )
 
     def test_of_hundreds_only_those_that_stand_out_are_listed(self):
         """One of two hundred routers is behind, another is at its processor's limit.
@@ -414,14 +416,16 @@
         answers["h:42"] = self.answer(6) | {"router": "behind"}
         answers["h:77"] = self.answer(7) | {"router": "busy", "loop_late_s": 0.08}
         answers["h:99"] = {"error": "gave no answer"}
-        lines = list(belief_lines(answers))
+        lines = list(fleet_status_lines(answers))
         assert lines[0] == "warning: the routers differ in their version"
         assert lines[1] == "197 of 200 routers believe the same"
         assert [line.split()[0] for line in lines[3:]] == ["behind", "busy", "h:99"]
 
     def test_hundreds_that_agree_take_one_line(self):
         answers = {f"h:{n}": self.answer(7) for n in range(200)}
-        assert list(belief_lines(answers)) == ["200 of 200 routers believe the same"]
+        assert list(fleet_status_lines(answers)) == [
+            "200 of 200 routers believe the same"
+        ]
 
     def test_a_router_without_an_answer_is_exit_code_3(self, run):
         code, out, _ = run("beliefs", "--routers", "127.0.0.1:1")
--- a/packages/fulmarroad-router/src/fulmarroad_router/_header_guard.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/_header_guard.py
@@ -25,16 +25,16 @@
 """Time for the headers of one request where operators state none: they fit one packet,
 so this covers several lost ones on a bad line."""
 
-LAST_LOOK_S = 0.1
+CLOSE_GRACE_S = 0.1
 """Time between the limit and the close. After a pause of the process the timer runs
 before the bytes that came meanwhile are read."""
 
-LATE_HEADERS = (
+HEADER_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
 )
 
 
-class GuardedConfig(uvicorn.Config):
+class HeaderGuardConfig(uvicorn.Config):
     """Hold uvicorn's configuration and the time limit of headers."""
 
     def __init__(self, app: Any, *, header_timeout_s: float, **named: Any) -> None:
@@ -45,7 +45,7 @@
 class HeaderGuard(HttpToolsProtocol):
     """Speak HTTP on one connection and bound the time of a request's headers."""
 
-    config: GuardedConfig
+    config: HeaderGuardConfig
 
     def __init__(self, *args: Any, **named: Any) -> None:
         super().__init__(*args, **named)
@@ -90,7 +90,7 @@
             self._guard = None
 
     def _look_again(self) -> None:
-        self._guard = self.loop.call_later(LAST_LOOK_S, self._give_up)
+        self._guard = self.loop.call_later(CLOSE_GRACE_S, self._give_up)
 
     def _give_up(self) -> None:
         if self.transport.is_closing():
@@ -105,5 +105,5 @@
             caller=self.client[0] if self.client else "",
             seconds=self.config.header_timeout_s,
         )
-        self.transport.write(LATE_HEADERS)
+        self.transport.write(HEADER_TIMEOUT_RESPONSE)
         self.transport.close()
--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -11,7 +11,7 @@
 
 from fulmarroad.events import Event, emit
 from fulmarroad_router.app import Receive, Scope, SendEvent
-from fulmarroad_router.calls import bearer_of
+from fulmarroad_router.calls import bearer_token
 
 logger = logging.getLogger("fulmarroad.router")
 
@@ -114,7 +114,7 @@
         return {"ok": True}
 
     def _authenticate(self, scope: Scope) -> None:
-        shown = bearer_of(scope["headers"]).encode("latin-1")
+        shown = bearer_token(scope["headers"]).encode("latin-1")
         if not hmac.compare_digest(shown, self._token):
             client = scope.get("client") or ("", 0)
             emit(logger, Event.ADMIN_REJECTED, client=client[0], path=scope["path"])
--- a/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
@@ -20,7 +20,7 @@
 RUNNING_RETRY_S = 1.0
 
 
-class Admitter:
+class AdmissionController:
     """Own what waits and runs at this router, by workspace."""
 
     def __init__(
@@ -94,7 +94,7 @@
     def _answer_shed(self, now: float) -> None:
         for demand_id, refusal in self._admission.shed(now):
             rejection = Rejected(demand_id, refusal.reason, refusal.retry_after_s)
-            self._coordinator.tell(GiveUp(rejection))
+            self._coordinator.send_command(GiveUp(rejection))
 
     def _servers(self, call: Call) -> int:
         tables = self._tables()
--- a/packages/fulmarroad-router/src/fulmarroad_router/app.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/app.py
@@ -14,20 +14,20 @@
 from fulmarroad.types import Ran, RefusalReason
 from fulmarroad_router.asgi import (
     AsgiResponder,
-    CallerLeft,
+    CallerDisconnected,
     Headers,
     Receive,
     Scope,
     SendEvent,
     read_body,
-    run_watched,
+    run_until_disconnect,
 )
 from fulmarroad_router.calls import (
     Call,
     ChatBody,
-    bearer_of,
+    bearer_token,
     header,
-    read_chat,
+    parse_chat_body,
     request_id_of,
 )
 from fulmarroad_router.exceptions import (
@@ -121,7 +121,7 @@
         self._gate.enter()
         try:
             await self._serve(scope, receive, responder, stages, arrived)
-        except CallerLeft:
+        except CallerDisconnected:
             self._note_left(stages)
         except CallError as error:
             await self._fail(error, responder, stages)
@@ -155,10 +155,12 @@
         stages.workspace = workspace.name
         body = await read_body(scope["headers"], receive, self._max_body_bytes)
         call = self._call(scope, lookup, workspace, body, stages, arrived)
-        await run_watched(lambda: self._runner.run(call, responder), receive, responder)
+        await run_until_disconnect(
+            lambda: self._runner.run(call, responder), receive, responder
+        )
 
     def _authenticate(self, headers: Headers, lookup: RouteLookup) -> Workspace:
-        bearer = bearer_of(headers)
+        bearer = bearer_token(headers)
         workspace = lookup.workspace_for_key(bearer) if bearer else None
         if workspace is None:
             raise Unauthorized("Send a known key as `Authorization: Bearer KEY`.")
@@ -175,7 +177,7 @@
     ) -> Call:
         method, path = scope["method"], scope["path"]
         is_chat = path == CHAT_PATH and method == "POST"
-        chat = read_chat(body) if is_chat else ChatBody()
+        chat = parse_chat_body(body) if is_chat else ChatBody()
         route = lookup.route_for(method, path, chat.model, workspace.name)
         if route is None:
             raise RouteNotFound("No route of the tables takes this call.")
@@ -257,7 +259,7 @@
 
 def _responder(send: SendEvent, request_id: str) -> AsgiResponder:
     marks = [_name_mark(request_id), _ran_mark(Ran.RAN)]
-    return AsgiResponder(send, request_id, answer_marks=marks)
+    return AsgiResponder(send, request_id, extra_headers=marks)
 
 
 def _error_marks(error: CallError, request_id: str) -> Headers:
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -31,22 +31,22 @@
 """Headers of one connection, which never go on to the next."""
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """End the work on a call whose caller is gone."""
 
 
 class AsgiResponder:
     """Send an answer through ASGI; awaiting `send` waits for a slow caller.
 
-    `answer_marks` go with every answer of a backend server.
+    `extra_headers` go with every answer of a backend server.
     """
 
     def __init__(
-        self, send: SendEvent, request_id: str, *, answer_marks: Headers
+        self, send: SendEvent, request_id: str, *, extra_headers: Headers
     ) -> None:
         self._send = send
         self._request_id = request_id
-        self._answer_marks = answer_marks
+        self._extra_headers = extra_headers
         self._begun = False
         self.status = 0
         self.finished = False
@@ -58,7 +58,7 @@
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Send the head of a backend server's answer."""
-        await self._start(status, [*headers, *self._answer_marks])
+        await self._start(status, [*headers, *self._extra_headers])
 
     async def send(self, chunk: bytes) -> None:
         """Send a part of the body."""
@@ -92,7 +92,7 @@
 
 
 async def read_body(headers: Headers, receive: Receive, most: int) -> bytes:
-    """Return a request's body; raise `BodyTooLarge` or `CallerLeft`."""
+    """Return a request's body; raise `BodyTooLarge` or `CallerDisconnected`."""
     length = next((value for name, value in headers if name == b"content-length"), b"")
     if length and (not length.isdigit() or int(length) > most):
         raise BodyTooLarge(f"A body may have {most} bytes.")
@@ -100,7 +100,7 @@
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
-            raise CallerLeft
+            raise CallerDisconnected
         parts += event.get("body", b"")
         if len(parts) > most:
             raise BodyTooLarge(f"A body may have {most} bytes.")
@@ -108,10 +108,10 @@
             return bytes(parts)
 
 
-async def run_watched(
+async def run_until_disconnect(
     run: Callable[[], Awaitable[None]], receive: Receive, responder: AsgiResponder
 ) -> None:
-    """Run a call; stop it and raise `CallerLeft` when its caller leaves."""
+    """Run a call; stop it and raise `CallerDisconnected` when its caller leaves."""
     left = False
 
     async def watch() -> None:
@@ -133,7 +133,7 @@
     if failure is not None:
         raise failure
     if left:
-        raise CallerLeft
+        raise CallerDisconnected
 
 
 def error_document(error: CallError, request_id: str) -> dict[str, Any]:
--- a/packages/fulmarroad-router/src/fulmarroad_router/backend.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/backend.py
@@ -1,8 +1,8 @@
 """Calls to backend servers: one connection per running request.
 
 The one question that matters after a failure is whether any byte of the request was
-sent. `NotSent` is raised only where none was, since a caller may be told "not run"
-only then.
+sent. `FailedBeforeSend` is raised only where none was, since a caller may be told "not
+run" only then.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
     """Report a call to a backend server that failed."""
 
 
-class NotSent(BackendError):
+class FailedBeforeSend(BackendError):
     """Report that no byte of the request reached the backend server."""
 
 
-class Sent(BackendError):
+class FailedAfterSend(BackendError):
     """Report a failure after the request was, or may have been, sent."""
 
 
-class SentTimeout(Sent):
+class TimedOutAfterSend(FailedAfterSend):
     """Report a backend server that was silent for too long."""
 
 
@@ -70,14 +70,14 @@
         return b""
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise `Sent` where it breaks off."""
+        """Yield the body; raise `FailedAfterSend` where it breaks off."""
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
         except httpcore.TimeoutException as error:
-            raise SentTimeout("The backend server fell silent.") from error
+            raise TimedOutAfterSend("The backend server fell silent.") from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            raise Sent("The backend server broke its answer off.") from error
+            raise FailedAfterSend("The backend server broke its answer off.") from error
 
 
 class BackendCall:
@@ -106,12 +106,18 @@
             self._response = await self._open()
         except httpcore.TimeoutException as error:
             if not self._sent:
-                raise NotSent("The backend server can't be reached.") from error
-            raise SentTimeout("The backend server gave no answer.") from error
+                raise FailedBeforeSend(
+                    "The backend server can't be reached."
+                ) from error
+            raise TimedOutAfterSend("The backend server gave no answer.") from error
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError) as error:
             if not self._sent:
-                raise NotSent("The backend server can't be reached.") from error
-            raise Sent("The backend server broke off before its answer.") from error
+                raise FailedBeforeSend(
+                    "The backend server can't be reached."
+                ) from error
+            raise FailedAfterSend(
+                "The backend server broke off before its answer."
+            ) from error
         return BackendResponse(self._response, self._table.idle_timeout_s)
 
     async def __aexit__(
--- a/packages/fulmarroad-router/src/fulmarroad_router/calls.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/calls.py
@@ -75,7 +75,7 @@
         return self.arrived + self.route.timeout_s
 
     @property
-    def runs_on(self) -> bool:
+    def continues_after_disconnect(self) -> bool:
         """Tell whether the call goes on once it is sent though its caller left.
 
         A call that may not be repeated is better ended than cut off: its outcome can
@@ -99,7 +99,7 @@
         self, address: str, resume_from: int | None = None
     ) -> BackendRequest:
         """Return what is sent to the backend server."""
-        headers = cleaned(self.headers, _NOT_SENT_ON)
+        headers = strip_headers(self.headers, _NOT_SENT_ON)
         headers.append((b"host", address.encode()))
         headers.append((b"x-request-id", self.request_id.encode()))
         headers.append((b"fulmarroad-workspace", self.workspace.name.encode()))
@@ -110,7 +110,7 @@
         return BackendRequest(self.method.encode(), self.target, headers, self.body)
 
 
-def cleaned(headers: Headers, dropped: Collection[bytes]) -> Headers:
+def strip_headers(headers: Headers, dropped: Collection[bytes]) -> Headers:
     """Return headers without those that concern one hop only."""
     named = {
         token.strip().lower()
@@ -125,9 +125,9 @@
     ]
 
 
-def answer_headers(headers: Headers) -> Headers:
+def response_headers(headers: Headers) -> Headers:
     """Return a backend server's headers as they go to the caller."""
-    return cleaned(headers, _NOT_SENT_BACK)
+    return strip_headers(headers, _NOT_SENT_BACK)
 
 
 def header(headers: Headers, name: bytes) -> str:
@@ -151,13 +151,13 @@
     return str(uuid.uuid4())
 
 
-def bearer_of(headers: Headers) -> str:
+def bearer_token(headers: Headers) -> str:
     """Return the key that the caller shows, or nothing."""
     scheme, _, key = header(headers, b"authorization").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def read_chat(body: bytes) -> ChatBody:
+def parse_chat_body(body: bytes) -> ChatBody:
     """Read a chat completion's body; raise `BadRequest` if it is none."""
     try:
         document = json.loads(body)
@@ -178,7 +178,7 @@
     return ChatBody(model, bool(stream), _max_tokens(document), prompt)
 
 
-def prefix_of(prompt: bytes) -> tuple[int, ...]:
+def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
     """Return hashes of the prompt's leading blocks, from short to long."""
     hashes: list[int] = []
     length = PREFIX_BLOCK_BYTES
--- a/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
@@ -67,7 +67,7 @@
     ran = Ran.NOT_RUN
 
 
-class KeyMisused(CallError):
+class KeyReused(CallError):
     """Refuse an idempotency key that came before with another request."""
 
     status = 422
--- a/packages/fulmarroad-router/src/fulmarroad_router/execution.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/execution.py
@@ -28,20 +28,20 @@
 from fulmarroad.ownership import short_name
 from fulmarroad.tables import CostUnit, Pool, PoolKind
 from fulmarroad.types import Outcome, RefusalReason
-from fulmarroad_router.admitting import Admitter
+from fulmarroad_router.admitting import AdmissionController
 from fulmarroad_router.backend import (
     BackendClient,
     BackendResponse,
+    FailedAfterSend,
+    FailedBeforeSend,
     Headers,
-    NotSent,
-    Sent,
-    SentTimeout,
+    TimedOutAfterSend,
 )
 from fulmarroad_router.calls import (
     Call,
-    answer_headers,
     cached_blocks,
-    prefix_of,
+    prefix_hashes,
+    response_headers,
 )
 from fulmarroad_router.exceptions import (
     AnswerBroken,
@@ -51,7 +51,7 @@
     TimedOut,
 )
 from fulmarroad_router.metering import Meter
-from fulmarroad_router.sse import EventSplitter, EventTooLarge, StreamEvent, usage_of
+from fulmarroad_router.sse import EventSplitter, EventTooLarge, StreamEvent, parse_usage
 
 logger = logging.getLogger("fulmarroad.router")
 
@@ -108,14 +108,14 @@
         self,
         coordinator: Coordinator,
         backends: BackendClient,
-        admitter: Admitter,
+        admission_controller: AdmissionController,
         clock: Callable[[], float],
         name: str,
     ) -> None:
         """Take what surrounds the task; `name` is this start of this router."""
         self._coordinator = coordinator
         self._backends = backends
-        self._admitter = admitter
+        self._admission_controller = admission_controller
         self._clock = clock
         self._sequence = 0
         self._prefix = short_name(name)
@@ -126,22 +126,24 @@
         while not progress.done:
             lease = await self._lease(call, progress)
             progress.tries += 1
-            self._admitter.begin(call)
+            self._admission_controller.begin(call)
             try:
-                with anyio.CancelScope(shield=call.runs_on):
+                with anyio.CancelScope(shield=call.continues_after_disconnect):
                     await self._try(call, lease, responder, progress)
             finally:
-                self._admitter.end(call)
+                self._admission_controller.end(call)
 
     async def _lease(self, call: Call, progress: _Progress) -> Lease:
         ask = self._ask(call, progress)
         try:
-            self._admitter.admit(call, ask.demand_id, first=not progress.tries)
+            self._admission_controller.admit(
+                call, ask.demand_id, first=not progress.tries
+            )
             answer = await self._coordinator.request(ask)
         except Refused as refused:
             raise self._refusal(refused, progress) from refused
         finally:
-            self._admitter.leave(ask.demand_id)
+            self._admission_controller.leave(ask.demand_id)
         if isinstance(answer, Granted):
             return answer.lease
         raise self._refusal(Refused(answer.reason, answer.retry_after_s), progress)
@@ -156,7 +158,7 @@
             cost_hint=call.cost_hint,
             arrived=call.arrived,
             deadline=call.deadline,
-            prefix=prefix_of(call.chat.prompt),
+            prefix=prefix_hashes(call.chat.prompt),
             repeatable=call.route.repeatable,
             avoid=self._avoided(call, progress),
         )
@@ -186,13 +188,13 @@
             with anyio.fail_after(max(0.0, call.deadline - self._clock())):
                 status = await self._send(call, lease, responder, progress, meter)
             outcome = _outcome_of(call.pool, status)
-        except NotSent as error:
+        except FailedBeforeSend as error:
             outcome = Outcome.UNREACHABLE
             self._retry_unsent(call, lease, progress, error)
-        except (SentTimeout, TimeoutError) as error:
+        except (TimedOutAfterSend, TimeoutError) as error:
             outcome = Outcome.TIMED_OUT
             self._retry_sent(call, lease, responder, progress, error)
-        except (Sent, EventTooLarge) as error:
+        except (FailedAfterSend, EventTooLarge) as error:
             outcome = Outcome.FAILED
             self._retry_sent(call, lease, responder, progress, error)
         finally:
@@ -210,8 +212,10 @@
         request = call.backend_request(lease.server.address, resume_from)
         meter.sent = self._clock()
         if call.may_send is not None and not call.may_send(meter.sent):
-            raise NotSent("The permission to send this key's call has run out.")
-        self._coordinator.tell(NoteStarted(lease.lease_id))
+            raise FailedBeforeSend(
+                "The permission to send this key's call has run out."
+            )
+        self._coordinator.send_command(NoteStarted(lease.lease_id))
         repeatable = call.route.repeatable
         backend = self._backends.call(
             call.pool, lease.server, request, repeatable=repeatable
@@ -232,12 +236,12 @@
         """Refuse an answer that belongs to another request, or is no resumption."""
         echoed = response.header(b"x-request-id").decode("latin-1")
         if echoed and echoed != call.request_id:
-            raise Sent("The backend server answered another request.")
+            raise FailedAfterSend("The backend server answered another request.")
         failed = response.status in REFUSED_STATUS | FAILED_STATUS
         if failed and call.route.repeatable and progress.tries < MAX_TRIES:
-            raise Sent(f"The backend server answered {response.status}.")
+            raise FailedAfterSend(f"The backend server answered {response.status}.")
         if progress.tokens and not _is_events(response):
-            raise Sent("The engine did not resume the answer.")
+            raise FailedAfterSend("The engine did not resume the answer.")
 
     async def _stream(
         self,
@@ -267,7 +271,7 @@
                 self._note_progress(lease, unreported)
                 reported, unreported = now, 0
         if not done:
-            raise Sent("The engine ended its answer before it was whole.")
+            raise FailedAfterSend("The engine ended its answer before it was whole.")
         await responder.finish()
 
     def _note_progress(
@@ -275,7 +279,7 @@
     ) -> None:
         first_s = meter.first_s if meter is not None else None
         gap_s = meter.gap_s if meter is not None else None
-        self._coordinator.tell(
+        self._coordinator.send_command(
             NoteProgress(lease.lease_id, float(tokens), first_s, gap_s)
         )
 
@@ -288,11 +292,11 @@
         meter: Meter,
     ) -> None:
         if not responder.begun:
-            await responder.begin(response.status, answer_headers(response.headers))
-        usage = usage_of(event.data)
+            await responder.begin(response.status, response_headers(response.headers))
+        usage = parse_usage(event.data)
         if usage is not None:
-            meter.note_usage(usage)
-        meter.note_chunk(event.tokens)
+            meter.record_usage(usage)
+        meter.record_chunk(event.tokens)
         progress.tokens += event.tokens
         await responder.send(event.raw)
 
@@ -306,31 +310,33 @@
     ) -> None:
         """Copy a body; its head waits for the first part, so a try may still fail."""
         kept = bytearray()
-        meter.in_one_piece = bool(call.chat.model)
-        headers = answer_headers(response.headers)
+        meter.non_streaming = bool(call.chat.model)
+        headers = response_headers(response.headers)
         async for chunk in response.chunks():
             if not responder.begun:
                 await responder.begin(response.status, headers)
-            meter.note_chunk(0)
+            meter.record_chunk(0)
             if len(kept) < MAX_USAGE_BYTES:
                 kept += chunk
             await responder.send(chunk)
         if not responder.begun:
             await responder.begin(response.status, headers)
-        usage = usage_of(bytes(kept)) if call.chat.model else None
+        usage = parse_usage(bytes(kept)) if call.chat.model else None
         if usage is not None:
-            meter.note_usage(usage)
+            meter.record_usage(usage)
         await responder.finish()
 
     def _retry_unsent(
-        self, call: Call, lease: Lease, progress: _Progress, error: NotSent
+        self, call: Call, lease: Lease, progress: _Progress, error: FailedBeforeSend
     ) -> None:
         """Let the call try elsewhere, or refuse it truthfully as not run."""
         call.sent = progress.sent
         progress.failed = (*progress.failed, lease.server.name)
         if progress.tokens and progress.tries < MAX_TRIES:
             return
-        if progress.tries < MAX_TRIES and self._admitter.may_retry(call.pool.name):
+        if progress.tries < MAX_TRIES and self._admission_controller.may_retry(
+            call.pool.name
+        ):
             self._note_retry(call, lease, error)
             return
         refused = Refused(RefusalReason.RETRY_BUDGET, 1.0)
@@ -365,7 +371,7 @@
         if (
             call.route.repeatable
             and not spent
-            and self._admitter.may_retry(call.pool.name)
+            and self._admission_controller.may_retry(call.pool.name)
         ):
             self._note_retry(call, lease, error)
             return
@@ -395,7 +401,7 @@
             self._clock() - meter.sent,
             cached_blocks(meter.cached_tokens),
         )
-        self._coordinator.tell(NoteFinished(report))
+        self._coordinator.send_command(NoteFinished(report))
 
     def _service(self, call: Call, meter: Meter, outcome: Outcome) -> float:
         """Return what the try cost, in the pool's unit."""
--- a/packages/fulmarroad-router/src/fulmarroad_router/http_server.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/http_server.py
@@ -12,7 +12,7 @@
 import uvicorn
 
 from fulmarroad.exceptions import TransportError
-from fulmarroad_router._header_guard import HEADER_TIMEOUT_S, GuardedConfig
+from fulmarroad_router._header_guard import HEADER_TIMEOUT_S, HeaderGuardConfig
 
 if TYPE_CHECKING:
     from fulmarroad_router.settings import TlsSettings
@@ -29,9 +29,9 @@
 class _Server(uvicorn.Server):
     """Leave signals to the daemon's own supervisor."""
 
-    config: GuardedConfig
+    config: HeaderGuardConfig
 
-    def __init__(self, config: GuardedConfig) -> None:
+    def __init__(self, config: HeaderGuardConfig) -> None:
         super().__init__(config)
         self._stopped = anyio.Event()
 
@@ -68,7 +68,7 @@
         tls: TlsSettings | None = None,
         idle_timeout_s: float = IDLE_TIMEOUT_S,
         header_timeout_s: float = HEADER_TIMEOUT_S,
-        accepts: int = ACCEPTED_A_TURN,
+        accepts_per_turn: int = ACCEPTED_A_TURN,
         on_ready: Callable[[int], None] = lambda port: None,
     ) -> None:
         self._app = app
@@ -80,11 +80,11 @@
         self._tls = tls
         self._idle_timeout_s = idle_timeout_s
         self._header_timeout_s = header_timeout_s
-        self._accepts = accepts
+        self._accepts_per_turn = accepts_per_turn
 
     async def run(self) -> None:
         """Serve until cancelled or stopped."""
-        config = GuardedConfig(
+        config = HeaderGuardConfig(
             self._app,
             loop="none",
             header_timeout_s=self._header_timeout_s,
@@ -105,7 +105,7 @@
         listener = self._bind()
         self._server = _Server(config)
         self._on_ready(listener.getsockname()[1])
-        handles = _handles(listener, self._accepts)
+        handles = _handles(listener, self._accepts_per_turn)
         try:
             await self._server.serve(sockets=handles)
         finally:
--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -31,7 +31,7 @@
     AnswerNotKept,
     CallError,
     KeyInProgress,
-    KeyMisused,
+    KeyReused,
     KeyUnverifiable,
     OutcomeUnknown,
     Refused,
@@ -137,7 +137,7 @@
 
     async def _note_end(self, call: Call, attempt: KeyAttempt) -> None:
         if call.sent:
-            await self._keys.lose(attempt)
+            await self._keys.mark_outcome_unknown(attempt)
         else:
             await self._keys.give_up(attempt)
 
@@ -175,7 +175,7 @@
 def _error(call: Call, decision: KeyDecision) -> CallError:
     match decision:
         case KeyMismatch():
-            return KeyMisused("This `Idempotency-Key` came with another request.")
+            return KeyReused("This `Idempotency-Key` came with another request.")
         case KeyOutcomeUnknown():
             return OutcomeUnknown(
                 "This key's call was sent before and its outcome is not known."
--- a/packages/fulmarroad-router/src/fulmarroad_router/metering.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/metering.py
@@ -21,9 +21,9 @@
     prompt_tokens: float = 0.0
     cached_tokens: int = 0
     counted: bool = False
-    in_one_piece: bool = False
+    non_streaming: bool = False
 
-    def note_chunk(self, tokens: int) -> None:
+    def record_chunk(self, tokens: int) -> None:
         """Note a part of the answer."""
         now = self.clock()
         if self.first is None:
@@ -33,7 +33,7 @@
         if not self.counted:
             self.tokens += tokens
 
-    def note_usage(self, usage: dict[str, object]) -> None:
+    def record_usage(self, usage: dict[str, object]) -> None:
         """Take the engine's own count over the estimate."""
         prompt = usage.get("prompt_tokens")
         answer = usage.get("completion_tokens")
@@ -56,7 +56,7 @@
         also its last, and would make every server look slow that writes long
         answers.
         """
-        if self.first is None or self.in_one_piece:
+        if self.first is None or self.non_streaming:
             return None
         return self.first - self.sent
 
@@ -65,7 +65,7 @@
         """Return the mean time between chunks, or for a token of a whole answer."""
         if self.first is None:
             return None
-        if self.in_one_piece:
+        if self.non_streaming:
             return (self.last - self.sent) / self.tokens if self.tokens else None
         if self.chunks < 2:
             return None
--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -21,12 +21,12 @@
     Coordinator,
     Follower,
     PeerAddress,
-    PeerQuestions,
+    PeerClient,
     Roles,
+    SetMembers,
+    SetTables,
+    SetVms,
     StepDownAll,
-    TakeMembers,
-    TakeTables,
-    TakeVms,
 )
 from fulmarroad.events import Event, emit
 from fulmarroad.exceptions import MessageError
@@ -56,7 +56,7 @@
 )
 from fulmarroad.types import MemberState
 from fulmarroad_router.admin import AdminApp
-from fulmarroad_router.admitting import Admitter
+from fulmarroad_router.admitting import AdmissionController
 from fulmarroad_router.app import CallersApp
 from fulmarroad_router.backend import BackendClient
 from fulmarroad_router.execution import Execution
@@ -65,9 +65,9 @@
 from fulmarroad_router.keyed import KeyedRunner
 from fulmarroad_router.lookup import Lookup
 from fulmarroad_router.operations import RouterOperations
-from fulmarroad_router.parts import key_groups, metrics_of, tls_of
+from fulmarroad_router.parts import build_key_groups, build_metrics, load_tls_files
 from fulmarroad_router.settings import Settings
-from fulmarroad_router.traffic import CountedMetrics
+from fulmarroad_router.traffic import TrafficCountingMetrics
 
 logger = logging.getLogger("fulmarroad.router")
 
@@ -91,8 +91,8 @@
         self._incarnation = time.time_ns() // 1_000_000
         self._traffic = TrafficCount()
         self._audit = AuditTrail(self._log_audit)
-        self._metrics = metrics_of(settings)
-        self._tls = tls_of(settings)
+        self._metrics = build_metrics(settings)
+        self._tls = load_tls_files(settings)
         self._gate = CallGate()
         self._cut: set[str] = set()
         self._drain_asked = anyio.Event()
@@ -117,17 +117,19 @@
             dial=self._dial,
             clock=self._clock,
         )
-        self._admitter = Admitter(self._coordinator, self._tables, self._clock)
+        self._admission_controller = AdmissionController(
+            self._coordinator, self._tables, self._clock
+        )
         self._swim = Swim(self._me(), seed=self._incarnation, now=self._clock())
         self._gossip = Gossip(
             self._swim,
             settings.cluster.secret.encode(),
             trail=self._audit,
-            metrics=CountedMetrics(self._metrics, self._traffic),
+            metrics=TrafficCountingMetrics(self._metrics, self._traffic),
             clock=self._clock,
             cut=self._is_cut,
         )
-        self._questions = PeerQuestions(
+        self._questions = PeerClient(
             name,
             self._addresses,
             self._traffic,
@@ -135,7 +137,7 @@
             cut=self._is_cut,
         )
         self._vms: dict[str, tuple[str, ...]] = {}
-        self._keys = key_groups(
+        self._keys = build_key_groups(
             settings,
             self._incarnation,
             self._ask_member,
@@ -195,8 +197,8 @@
                 ChildSpec("members", self._read_changes),
                 ChildSpec("versions", self._read_versions),
                 ChildSpec("configuration", self._watcher.run),
-                ChildSpec("keys", self._keys.copy_for_ever),
-                ChildSpec("admission", self._admitter.run),
+                ChildSpec("keys", self._keys.run_copying),
+                ChildSpec("admission", self._admission_controller.run),
                 ChildSpec("callers", self._callers().run),
                 ChildSpec("admin", self._admin().run),
                 ChildSpec("metrics", self._run_metrics),
@@ -216,7 +218,7 @@
         """Note that a peer's stream ended."""
         self._coordinator.on_detached(peer, handle)
 
-    async def on_question(self, peer: str, message: Any) -> Any:
+    async def on_request(self, peer: str, message: Any) -> Any:
         """Answer a single question."""
         if isinstance(message, TablesWanted):
             return self._watcher.give(message)
@@ -248,7 +250,7 @@
         self._gate.drain()
         await self._gossip.leave()
         done = anyio.Event()
-        self._coordinator.tell(StepDownAll(done))
+        self._coordinator.send_command(StepDownAll(done))
         await done.wait()
         with anyio.move_on_after(self._settings.limits.drain_timeout_s):
             await anyio.sleep(NOTICE_S)
@@ -259,7 +261,7 @@
         execution = Execution(
             self._coordinator,
             self._backends,
-            self._admitter,
+            self._admission_controller,
             self._clock,
             f"{self._settings.router.name}/{self._incarnation}",
         )
@@ -345,8 +347,8 @@
             self._tell_members()
 
     async def _read_versions(self) -> None:
-        async for heard in self._gossip.versions:
-            self._watcher.heard(heard.router, heard.version)
+        async for report in self._gossip.versions:
+            self._watcher.record_peer_version(report.router, report.version)
 
     def _tell_members(self) -> None:
         live: dict[str, list[str]] = {}
@@ -358,8 +360,8 @@
                 else self._settings.router.data_centre
             )
             live.setdefault(centre, []).append(name)
-        self._coordinator.tell(
-            TakeMembers(
+        self._coordinator.send_command(
+            SetMembers(
                 {centre: tuple(names) for centre, names in live.items()},
                 self._addresses(),
             )
@@ -369,7 +371,7 @@
         index = self._store.index
         if index is not None:
             self._lookup = Lookup(tables, index)
-        self._coordinator.tell(TakeTables(tables))
+        self._coordinator.send_command(SetTables(tables))
         self._soon(self._gossip.announce_version, tables.version)
 
     def _take_vm_list(self, listing: VmListing) -> None:
@@ -378,7 +380,7 @@
         for entry in listing.entries:
             vms.setdefault(entry.data_centre, []).append(entry.router)
         self._vms = {centre: tuple(sorted(names)) for centre, names in vms.items()}
-        self._coordinator.tell(TakeVms(self._vms))
+        self._coordinator.send_command(SetVms(self._vms))
         self._tell_members()
 
     async def _ask_member(self, peer: str, message: Any) -> Any:
--- a/packages/fulmarroad-router/src/fulmarroad_router/parts.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/parts.py
@@ -20,7 +20,7 @@
 from fulmarroad_router.settings import Settings
 
 
-def key_groups(
+def build_key_groups(
     settings: Settings,
     incarnation: int,
     ask: AskMember,
@@ -45,7 +45,7 @@
     )
 
 
-def metrics_of(settings: Settings) -> Metrics:
+def build_metrics(settings: Settings) -> Metrics:
     """Return the metrics that the settings ask for."""
     row = settings.metrics
     if not row.host:
@@ -53,7 +53,7 @@
     return StatsdMetrics(row.host, row.port, row.prefix)
 
 
-def tls_of(settings: Settings) -> TlsFiles | None:
+def load_tls_files(settings: Settings) -> TlsFiles | None:
     """Return the texts of the TLS files; raise `ConfigurationError`."""
     row = settings.tls
     if not row.enabled:
--- a/packages/fulmarroad-router/src/fulmarroad_router/sse.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/sse.py
@@ -57,7 +57,7 @@
         return [_event(block) for block in blocks if block.strip()]
 
 
-def usage_of(data: bytes) -> dict[str, Any] | None:
+def parse_usage(data: bytes) -> dict[str, Any] | None:
     """Return the usage that an answer or event carries, if it does."""
     if b'"usage"' not in data:
         return None
--- a/packages/fulmarroad-router/src/fulmarroad_router/traffic.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/traffic.py
@@ -9,7 +9,7 @@
 """IP and UDP headers of one packet."""
 
 
-class CountedMetrics:
+class TrafficCountingMetrics:
     """Pass metrics on and add the membership's bytes to the control traffic."""
 
     def __init__(self, metrics: Metrics, traffic: TrafficCount) -> None:
--- a/packages/fulmarroad-router/tests/conftest.py
+++ b/packages/fulmarroad-router/tests/conftest.py
@@ -1,10 +1,10 @@
 """Fixtures of the router's tests."""
 
 import pytest
-from router_bed import play_session
+from router_bed import run_session
 
 
 @pytest.fixture
 def session():
     """Return a function that plays calls on one router and writes down all."""
-    return play_session
+    return run_session
--- a/packages/fulmarroad-router/tests/router_bed.py
+++ b/packages/fulmarroad-router/tests/router_bed.py
@@ -13,9 +13,9 @@
     Coordinator,
     Follower,
     Roles,
-    TakeMembers,
-    TakeTables,
-    TakeVms,
+    SetMembers,
+    SetTables,
+    SetVms,
 )
 from fulmarroad.exceptions import TransportError
 from fulmarroad.keys import KeyClocks, KeyGroups, KeyIdentity, KeyLimits, KeyStore
@@ -33,9 +33,9 @@
 )
 from fulmarroad.testing import MemoryNetwork, run_virtual
 from fulmarroad.transport import TrafficCount
-from fulmarroad_router.admitting import Admitter
+from fulmarroad_router.admitting import AdmissionController
 from fulmarroad_router.app import CallersApp
-from fulmarroad_router.backend import NotSent, Sent
+from fulmarroad_router.backend import FailedAfterSend, FailedBeforeSend
 from fulmarroad_router.execution import Execution
 from fulmarroad_router.gate import CallGate
 from fulmarroad_router.keyed import KeyedRunner
@@ -112,7 +112,7 @@
             self.read.append(part)
             yield part
         if self.broken:
-            raise Sent("The backend server broke its answer off.")
+            raise FailedAfterSend("The backend server broke its answer off.")
 
 
 @define
@@ -123,10 +123,10 @@
 
     async def __aenter__(self):
         if self.script.kind == "refuse":
-            raise NotSent("The backend server can't be reached.")
+            raise FailedBeforeSend("The backend server can't be reached.")
         await anyio.sleep(0.1)
         if self.script.kind == "break_before":
-            raise Sent("The backend server broke off before its answer.")
+            raise FailedAfterSend("The backend server broke off before its answer.")
         sent = dict(self.request.headers)
         headers = [(b"connection", b"keep-alive")]
         echo = self.script.echo_id or sent[b"x-request-id"].decode()
@@ -198,13 +198,13 @@
             dial=MemoryNetwork().dial("router-a"),
             clock=anyio.current_time,
         )
-        self.admitter = Admitter(
+        self.admission_controller = AdmissionController(
             self.coordinator, lambda: self.tables, anyio.current_time
         )
         execution = Execution(
             self.coordinator,
             self.backends,
-            self.admitter,
+            self.admission_controller,
             anyio.current_time,
             "router-a/1",
         )
@@ -235,18 +235,18 @@
         return self.tables.server_takes_work(server)
 
     async def run(self):
-        self.coordinator.tell(TakeVms({CENTRE: ("router-a",)}))
-        self.coordinator.tell(TakeMembers({CENTRE: ("router-a",)}, {}))
+        self.coordinator.send_command(SetVms({CENTRE: ("router-a",)}))
+        self.coordinator.send_command(SetMembers({CENTRE: ("router-a",)}, {}))
         self.put(self.tables)
         self.gate.open()
         async with anyio.create_task_group() as group:
-            group.start_soon(self.admitter.run)
+            group.start_soon(self.admission_controller.run)
             await self.coordinator.run()
 
     def put(self, tables):
         self.tables = tables
         if tables is not None:
-            self.coordinator.tell(TakeTables(tables))
+            self.coordinator.send_command(SetTables(tables))
 
     async def call(
         self, method="POST", path="/v1/chat/completions", body=None, **options
@@ -313,7 +313,7 @@
             self.lines.append("<- end of answer")
 
 
-def play_session(scenario, scripts=(), tables=None):
+def run_session(scenario, scripts=(), tables=None):
     """Play calls on one router and return all that was sent both ways."""
     log = EventLog()
     logger = logging.getLogger("fulmarroad.router")
--- a/packages/fulmarroad-router/tests/test_calls.py
+++ b/packages/fulmarroad-router/tests/test_calls.py
@@ -11,13 +11,13 @@
     MAX_PREFIX_BLOCKS,
     PREFIX_BLOCK_BYTES,
     Call,
-    answer_headers,
-    bearer_of,
+    bearer_token,
     cached_blocks,
-    cleaned,
-    prefix_of,
-    read_chat,
+    parse_chat_body,
+    prefix_hashes,
     request_id_of,
+    response_headers,
+    strip_headers,
 )
 from fulmarroad_router.exceptions import BadRequest
 
@@ -44,7 +44,9 @@
             (b"Keep-Alive", b"5"),
             (b"Accept", b"*/*"),
         ]
-        assert cleaned(sent, {b"connection", b"keep-alive"}) == [(b"Accept", b"*/*")]
+        assert strip_headers(sent, {b"connection", b"keep-alive"}) == [
+            (b"Accept", b"*/*")
+        ]
 
     def test_callers_key_does_not_reach_the_backend_server(self):
         call = make_call([(b"authorization", b"Bearer secret"), (b"accept", b"*/*")])
@@ -67,7 +69,7 @@
         )
 
     def test_backend_server_cannot_say_whether_the_call_ran(self):
-        kept = answer_headers([(b"Fulmarroad-Ran", b"not_run"), (b"etag", b"1")])
+        kept = response_headers([(b"Fulmarroad-Ran", b"not_run"), (b"etag", b"1")])
         assert kept == [(b"etag", b"1")]
 
     @pytest.mark.parametrize(
@@ -80,7 +82,7 @@
         ],
     )
     def test_bearer(self, value, bearer):
-        assert bearer_of([(b"authorization", value)]) == bearer
+        assert bearer_token([(b"authorization", value)]) == bearer
 
     @pytest.mark.parametrize("given", [b"", b"a\tb", b"x" * 129, "é".encode()])
     def test_unusable_request_ids_are_replaced(self, given):
@@ -93,7 +95,7 @@
 class TestChatBody:
     def test_reads_what_the_router_needs(self):
         body = {"model": "m", "messages": [{}], "stream": True, "max_tokens": 9}
-        chat = read_chat(json.dumps(body).encode())
+        chat = parse_chat_body(json.dumps(body).encode())
         assert (chat.model, chat.stream, chat.max_tokens) == ("m", True, 9)
 
     @pytest.mark.parametrize(
@@ -114,25 +116,25 @@
     )
     def test_refuses_what_is_none(self, body):
         with pytest.raises(BadRequest):
-            read_chat(body)
+            parse_chat_body(body)
 
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=100))
     def test_never_fails_in_another_way(self, body):
         with pytest.raises(BadRequest):
-            read_chat(body)
+            parse_chat_body(body)
 
 
 class TestPrefix:
     def test_shared_start_gives_shared_hashes(self):
         start = b"a" * PREFIX_BLOCK_BYTES * 2
-        one = prefix_of(start + b"b" * PREFIX_BLOCK_BYTES * 2)
-        other = prefix_of(start + b"c" * PREFIX_BLOCK_BYTES * 2)
+        one = prefix_hashes(start + b"b" * PREFIX_BLOCK_BYTES * 2)
+        other = prefix_hashes(start + b"c" * PREFIX_BLOCK_BYTES * 2)
         assert one[:2] == other[:2]
         assert one[2] != other[2]
 
     def test_long_prompts_have_few_hashes(self):
-        assert len(prefix_of(b"a" * 1_000_000)) == MAX_PREFIX_BLOCKS
+        assert len(prefix_hashes(b"a" * 1_000_000)) == MAX_PREFIX_BLOCKS
 
     @pytest.mark.parametrize(
         ("tokens", "blocks"), [(0, 0), (63, 0), (64, 1), (128, 2), (10**9, 8)]
--- a/packages/fulmarroad-router/tests/test_header_guard.py
+++ b/packages/fulmarroad-router/tests/test_header_guard.py
@@ -5,10 +5,10 @@
 from uvicorn.server import ServerState
 
 from fulmarroad_router._header_guard import (
-    LAST_LOOK_S,
-    LATE_HEADERS,
-    GuardedConfig,
+    CLOSE_GRACE_S,
+    HEADER_TIMEOUT_RESPONSE,
     HeaderGuard,
+    HeaderGuardConfig,
 )
 
 IDLE_S = 15
@@ -105,7 +105,7 @@
     async def app(scope, receive, send):
         """Answer nothing."""
 
-    config = GuardedConfig(
+    config = HeaderGuardConfig(
         app,
         header_timeout_s=HEADERS_S,
         timeout_keep_alive=IDLE_S,
@@ -124,9 +124,9 @@
         connection.data_received(REQUEST[:20])
         loop.wait(HEADERS_S)
         assert not transport.closed
-        loop.wait(LAST_LOOK_S)
+        loop.wait(CLOSE_GRACE_S)
         assert transport.closed
-        assert transport.sent == LATE_HEADERS
+        assert transport.sent == HEADER_TIMEOUT_RESPONSE
 
     def test_a_few_bytes_now_and_then_gain_no_time(self, connection, loop, transport):
         """A caller sends one byte a second for ever. If each of them started the time
@@ -181,12 +181,12 @@
         close would lose that answer.
         """
         connection.data_received(REQUEST + REQUEST[:20])
-        loop.wait(HEADERS_S + 5 * LAST_LOOK_S)
+        loop.wait(HEADERS_S + 5 * CLOSE_GRACE_S)
         assert transport.sent == b""
         assert not transport.closed
         connection.cycle.response_complete = True
-        loop.wait(2 * LAST_LOOK_S)
-        assert transport.sent == LATE_HEADERS
+        loop.wait(2 * CLOSE_GRACE_S)
+        assert transport.sent == HEADER_TIMEOUT_RESPONSE
         assert transport.closed
 
     def test_the_limit_of_a_newer_configuration_holds(
@@ -194,7 +194,7 @@
     ):
         connection.config.header_timeout_s = 1.0
         connection.data_received(REQUEST[:20])
-        loop.wait(1.0 + LAST_LOOK_S)
+        loop.wait(1.0 + CLOSE_GRACE_S)
         assert transport.closed
 
 
--- a/packages/fulmarroad-router/tests/test_metering.py
+++ b/packages/fulmarroad-router/tests/test_metering.py
@@ -24,7 +24,7 @@
     def test_stream(self, clock):
         meter = Meter(clock)
         for clock.now in (0.4, 0.5, 0.6):
-            meter.note_chunk(1)
+            meter.record_chunk(1)
         assert meter.first_s == pytest.approx(0.4)
         assert meter.gap_s == pytest.approx(0.1)
         assert meter.tokens == 3
@@ -33,18 +33,18 @@
         # A caller asks for an answer that isn't streamed. Its first byte comes after
         # the last token; taken for a first token it looked so slow that a server
         # which warmed up was set back to cold by each such answer.
-        meter = Meter(clock, in_one_piece=True)
+        meter = Meter(clock, non_streaming=True)
         clock.now = 5.0
-        meter.note_chunk(0)
-        meter.note_usage({"prompt_tokens": 10, "completion_tokens": 100})
+        meter.record_chunk(0)
+        meter.record_usage({"prompt_tokens": 10, "completion_tokens": 100})
         assert meter.first_s is None
         assert meter.gap_s == pytest.approx(0.05)
 
     def test_engines_count_replaces_the_estimate(self, clock):
         meter = Meter(clock)
-        meter.note_chunk(1)
-        meter.note_usage({"prompt_tokens": 7, "completion_tokens": 3})
-        meter.note_chunk(1)
+        meter.record_chunk(1)
+        meter.record_usage({"prompt_tokens": 7, "completion_tokens": 3})
+        meter.record_chunk(1)
         assert (meter.prompt_tokens, meter.tokens) == (7, 3)
 
     @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
     )
     def test_nonsense_of_an_engine_is_ignored(self, clock, usage):
         meter = Meter(clock, prompt_tokens=5.0)
-        meter.note_usage(usage)
+        meter.record_usage(usage)
         assert (meter.prompt_tokens, meter.tokens) == (5.0, 0)
 
 
--- a/packages/fulmarroad-router/tests/test_reports.py
+++ b/packages/fulmarroad-router/tests/test_reports.py
@@ -11,7 +11,7 @@
 from fulmarroad.coordination import Ask, Granted, Lease, NoteFinished
 from fulmarroad.tables import BackendServer, Pool, Route, Workspace
 from fulmarroad.types import Outcome, ShardId, Unit
-from fulmarroad_router.backend import Sent
+from fulmarroad_router.backend import FailedAfterSend
 from fulmarroad_router.calls import Call, ChatBody
 from fulmarroad_router.execution import Execution
 
@@ -31,7 +31,7 @@
             ask.demand_id, Lease("l", SHARD, Unit("e1", 0), SERVER, ask, 0.0)
         )
 
-    def tell(self, note):
+    def send_command(self, note):
         self.told.append(note)
 
     @property
@@ -64,7 +64,7 @@
             self._clock.now += after
             yield chunk
         if self._breaks:
-            raise Sent("broken off")
+            raise FailedAfterSend("broken off")
 
 
 class Bed:
--- a/packages/fulmarroad-router/tests/test_sse.py
+++ b/packages/fulmarroad-router/tests/test_sse.py
@@ -10,7 +10,7 @@
     MAX_EVENT_BYTES,
     EventSplitter,
     EventTooLarge,
-    usage_of,
+    parse_usage,
 )
 
 
@@ -60,4 +60,4 @@
         ],
     )
     def test_reads_usage_or_nothing(self, data, usage):
-        assert usage_of(data) == usage
+        assert parse_usage(data) == usage
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
@@ -55,7 +55,7 @@
         elif outcome is not SendOutcome.NOT_RUN:
             self.may_have_run = True
 
-    def allow_no_repeat(self) -> None:
+    def forbid_repeats(self) -> None:
         """Let what was sent be the last, or the next send where there was none."""
         self.max_attempts = min(self.max_attempts, max(1, self.sends))
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_callers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_callers.py
@@ -11,13 +11,13 @@
 from fulmarroad.types import RefusalReason
 from fulmarroad_router.asgi import (
     AsgiResponder,
-    CallerLeft,
+    CallerDisconnected,
     Headers,
     Receive,
     Scope,
     SendEvent,
     read_body,
-    run_watched,
+    run_until_disconnect,
 )
 from fulmarroad_router.exceptions import (
     AnswerBroken,
@@ -31,7 +31,6 @@
     Unauthorized,
 )
 from fulmarroad_router.gate import CallGate, GateState
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._catalog import (
     CatalogIndex,
     KeyHolder,
@@ -40,10 +39,11 @@
 )
 from fulmarroad_serving._fingerprints import fingerprint_of
 from fulmarroad_serving._forwarding import Forwarder
-from fulmarroad_serving._measures import Measures
+from fulmarroad_serving._metrics import Metrics
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._saturation import SaturationGuard
 from fulmarroad_serving._served_call import CallSummary, ServedCall
-from fulmarroad_serving._workspace_ends import LATE, ON_TIME, WorkspaceEnds
+from fulmarroad_serving._workspace_outcomes import LATE, ON_TIME, WorkspaceOutcomes
 from fulmarroad_serving.contracts import CallCodec, CallHead
 
 logger = logging.getLogger("fulmarroad.serving")
@@ -74,21 +74,21 @@
     def __init__(
         self,
         codec: CallCodec,
-        beliefs: Beliefs,
+        beliefs: RouterState,
         forwarder: Forwarder,
         gate: CallGate,
-        measures: Measures,
+        metrics: Metrics,
         saturation: SaturationGuard,
         clock: Callable[[], float],
     ) -> None:
         self._codec = codec
-        self._beliefs = beliefs
+        self._router_state = beliefs
         self._forwarder = forwarder
         self._gate = gate
-        self._measures = measures
+        self._metrics = metrics
         self._saturation = saturation
         self._clock = clock
-        self.ends = WorkspaceEnds()
+        self.ends = WorkspaceOutcomes()
         """How workspaces' calls ended, until the node tells of it."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: SendEvent) -> None:
@@ -100,12 +100,12 @@
         if self._gate.state is not GateState.OPEN or self._saturation.saturated:
             # Callers who keep their connection would go on sending here.
             marks.append((b"connection", b"close"))
-        responder = AsgiResponder(send, "", answer_marks=marks)
+        responder = AsgiResponder(send, "", extra_headers=marks)
         self._gate.enter()
         try:
             await self._serve(scope, receive, responder, stages)
             stages.outcome = "served"
-        except CallerLeft:
+        except CallerDisconnected:
             stages.outcome = "caller_left"
         except CallError as error:
             stages.outcome = error.code
@@ -133,25 +133,25 @@
         stages: _Stages,
     ) -> None:
         head = stages.head = self._codec.read_call(scope["headers"])
-        index = self._beliefs.index
-        most = self._beliefs.catalog.limits.body_bytes
+        index = self._router_state.index
+        most = self._router_state.catalog.limits.body_bytes
         size = sum(len(name) + len(value) for name, value in scope["headers"])
-        if size > self._beliefs.catalog.limits.header_bytes:
+        if size > self._router_state.catalog.limits.header_bytes:
             raise HeadersTooLarge("The headers are larger than callers may send.")
         body = await read_body(scope["headers"], receive, most)
         reason = self._gate.refusal()
         if reason is not None or index is None:
             raise Refused(reason or RefusalReason.NOT_READY, NOT_READY_RETRY_S)
         # The version in force when the call was read whole is the one that counts.
-        index = self._beliefs.index or index
+        index = self._router_state.index or index
         stages.version = index.catalog.version
         call = self._check(scope, head, body, index, stages)
         # Before the router's own limit: what it turns away was asked all the same.
         self._forwarder.admit(call, stages.summary)
-        if self._saturation.turns_away(call.route.kind):
+        if self._saturation.should_shed(call.route.kind):
             pause_s = self._saturation.retry_after_s()
             raise Refused(RefusalReason.ROUTER_BUSY, pause_s)
-        await run_watched(
+        await run_until_disconnect(
             lambda: self._forwarder.run(call, responder, stages.summary),
             receive,
             responder,
@@ -204,7 +204,7 @@
         self, head: CallHead, route: ServedRoute, index: CatalogIndex
     ) -> KeyHolder | None:
         holder = index.holder_of(head.key) if head.key else None
-        if holder is None and not route.anonymous and index.asks_for_keys:
+        if holder is None and not route.anonymous and index.requires_keys:
             raise Unauthorized("Send a known key.")
         return holder
 
@@ -229,14 +229,14 @@
         seconds = self._clock() - stages.arrived
         summary, route = stages.summary, stages.route
         kind = route.kind.value if route else "none"
-        self._measures.calls.labels(kind, stages.outcome or "cancelled").inc()
+        self._metrics.calls.labels(kind, stages.outcome or "cancelled").inc()
         if summary.first_s:
-            self._measures.first.labels(kind).observe(summary.first_s)
+            self._metrics.first_answer.labels(kind).observe(summary.first_s)
         if summary.begun_s:
             error = summary.begun_s - summary.expected_s
-            self._measures.estimate_error.labels(kind).observe(error)
+            self._metrics.estimate_error.labels(kind).observe(error)
         if stages.outcome == "served":
-            self._measures.whole.labels(kind).observe(seconds)
+            self._metrics.whole_answer.labels(kind).observe(seconds)
         if stages.workspace:
             self.ends.note(stages.workspace, _share_outcome(stages))
         emit(
@@ -262,7 +262,7 @@
             read_tokens=summary.read_tokens,
             expected_s=round(summary.expected_s, 4),
             begun_s=round(summary.begun_s, 4),
-            share_used=round(summary.use.given, 3),
+            share_used=round(summary.use.used_fraction, 3),
             objective_s=route.objective_s if route else 0.0,
             fingerprint=summary.fingerprint.hex(),
         )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_catalog.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_catalog.py
@@ -148,7 +148,7 @@
         return max(0, priority - self._most_urgent.get(route.targets, priority))
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_keys(self) -> bool:
         """Tell whether callers of routes that aren't anonymous need a key."""
         return bool(self.catalog.holders)
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_ended_servers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_crash_detector.py
@@ -40,7 +40,7 @@
         return broke_at <= self.asked_at + (ONE_END_S if self.ended else 0.0)
 
 
-class EndedServers:
+class CrashDetector:
     """Ask a server once for all the calls that it broke off together."""
 
     def __init__(
@@ -52,7 +52,7 @@
         self._verdicts: dict[Start, _Verdict] = {}
         self._asking: dict[Start, anyio.Event] = {}
 
-    async def has_ended(self, instance: Instance, broke_at: float) -> bool:
+    async def has_crashed(self, instance: Instance, broke_at: float) -> bool:
         """Tell whether a server that broke a call off ended, and unannounced."""
         start = (instance.id, instance.started_ms)
         while True:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
@@ -42,7 +42,7 @@
     shared_tokens: int = 0
     own_tokens: int = 0
     output_tokens: int = 0
-    draw: float = 0.0  # 0 to 1, the same for each attempt of a request
+    hash_fraction: float = 0.0  # 0 to 1, the same for each attempt of a request
     rank: int = 0  # how many ranks the call is below the most urgent of its service
 
     @property
@@ -79,7 +79,7 @@
     use: ShareUse = NO_USE
     candidates: int = 0
     read_s: float = 0.0  # until its first token, where it would have gone
-    over_s: float = 0.0  # by which the wait there is longer than the call may wait
+    excess_wait_s: float = 0.0  # of the wait there, above what the call may wait
 
 
 @define
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
@@ -68,7 +68,7 @@
 
 
 @frozen
-class Sum:
+class ReportSum:
     """Hold the sum of what some routers report."""
 
     sequences: Mapping[MemberId, int]
@@ -84,7 +84,7 @@
 
     sender: RouterName
     scope: DataCentreName  # whose routers are in the sum; empty: of the whole fleet
-    total: Sum
+    total: ReportSum
     members: tuple[Member, ...] = ()
     parts: tuple[tuple[PartId, ServerName], ...] = ()  # sent to servers lately
     suspects: tuple[SuspectRow, ...] = ()  # requests under which servers ended
@@ -97,23 +97,23 @@
     return watchers(routers, COLLECTORS, f"reports\0{centre}")
 
 
-def sum_reports(reports: Iterable[tuple[PeerReport, float]]) -> Sum:
+def sum_reports(reports: Iterable[tuple[PeerReport, float]]) -> ReportSum:
     """Sum reports, each with its age in seconds."""
     return _sum(
-        (Sum({member_id(row.router): row.sequence}, age_s, row.loads, row.counts))
+        (ReportSum({member_id(row.router): row.sequence}, age_s, row.loads, row.counts))
         for row, age_s in reports
     )
 
 
-def merge(sums: Iterable[tuple[Sum, float]]) -> Sum:
+def merge(sums: Iterable[tuple[ReportSum, float]]) -> ReportSum:
     """Merge sums that have no router in common, each with the time since it came."""
     return _sum(
-        Sum(row.sequences, row.age_s + age_s, row.loads, row.counts)
+        ReportSum(row.sequences, row.age_s + age_s, row.loads, row.counts)
         for row, age_s in sums
     )
 
 
-def _sum(rows: Iterable[Sum]) -> Sum:
+def _sum(rows: Iterable[ReportSum]) -> ReportSum:
     sequences: dict[MemberId, int] = {}
     loads: dict[ServerName, list[int]] = {}
     counts: dict[WorkspaceName, list[float]] = {}
@@ -130,7 +130,7 @@
             both = counts.setdefault(workspace, [0.0, 0.0])
             both[0] += count.asked
             both[1] += count.got
-    return Sum(
+    return ReportSum(
         sequences,
         weighted / weight if weight else 0.0,
         {name: PeerLoad(*pair) for name, pair in loads.items()},
@@ -148,7 +148,7 @@
         """Remember a report that was sent."""
         self._rows.append(report)
 
-    def others(self, total: Sum, me: RouterName) -> Sum:
+    def subtract_own(self, total: ReportSum, me: RouterName) -> ReportSum:
         """Return a sum without the report of this router that is in it."""
         sequence = total.sequences.get(member_id(me))
         mine = next((row for row in self._rows if row.sequence == sequence), None)
@@ -168,7 +168,7 @@
                     max(0.0, counts[workspace].asked - count.asked),
                     max(0.0, counts[workspace].got - count.got),
                 )
-        return Sum(total.sequences, total.age_s, loads, counts)
+        return ReportSum(total.sequences, total.age_s, loads, counts)
 
 
 def is_digest(row: object) -> bool:
@@ -200,7 +200,7 @@
     `era` is the store's as known here, for members that state none.
     """
     try:
-        total = Sum(
+        total = ReportSum(
             {int(member): int(number) for member, number in row[3]},
             float(row[4]),
             read_loads(row[5]),
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
@@ -29,8 +29,8 @@
     Refusal,
     Ticket,
 )
-from fulmarroad_serving._early_rejection import EngineCapacity, let_in_part
-from fulmarroad_serving._health import ServerTrust
+from fulmarroad_serving._early_rejection import EngineCapacity, admitted_fraction
+from fulmarroad_serving._health import ServerHealth
 from fulmarroad_serving._load import PeerLoad, ServerLoad
 from fulmarroad_serving._registry import Registered, Registry, cold_bound
 from fulmarroad_serving._routing import (
@@ -94,7 +94,7 @@
     """Hold all that this router knows of one server's doing."""
 
     load: ServerLoad = field(factory=ServerLoad)
-    trust: ServerTrust = field(factory=ServerTrust)
+    health: ServerHealth = field(factory=ServerHealth)
     cold: ColdShare | None = None
     plain_s: float = PLAIN_SERVICE_S
 
@@ -128,7 +128,7 @@
         self.shares = ShareBook(window_s=bounds.share_window_s)
         self.routers: list[RouterName] = [me]
         """Routers that may exist, this one too; set by the membership."""
-        self.on_large: Callable[[], None] | None = None
+        self.on_large_prompt: Callable[[], None] | None = None
         """Called after a large prompt was sent: peers should hear of it at once."""
 
     def set_catalog(self, catalog: Catalog) -> None:
@@ -141,9 +141,9 @@
         self._views.pop(server, None)
         self.parts.forget(server)
 
-    def trust(self, server: ServerName) -> ServerTrust:
+    def health(self, server: ServerName) -> ServerHealth:
         """Return how far a server is trusted."""
-        return self._view(server).trust
+        return self._view(server).health
 
     def load(self, server: ServerName) -> ServerLoad:
         """Return what is known of a server's load."""
@@ -157,12 +157,12 @@
             if view.load.running
         }
 
-    def hear_load(
+    def receive_load(
         self, router: RouterName, loads: Mapping[ServerName, PeerLoad], now: float
     ) -> None:
         """Take a peer's word on what it has at servers."""
         for server, load in loads.items():
-            self._view(server).load.hear(router, load, now)
+            self._view(server).load.receive_load(router, load, now)
         for server, view in self._views.items():
             if server not in loads:
                 view.load.forget(router)
@@ -193,9 +193,9 @@
         if not engines.tokens_per_s:
             return None  # no engine at all, which the placement tells
         shares = self.shares
-        units = engines.capacity(shares.handed_out(now), shares.window_s)
-        part = let_in_part(shares.entitled_part(demand.workspace, units, now))
-        if demand.draw <= part:
+        units = engines.capacity(shares.granted_units(now), shares.window_s)
+        part = admitted_fraction(shares.entitled_fraction(demand.workspace, units, now))
+        if demand.hash_fraction <= part:
             return None
         pause = self._random.uniform(*RETRY_AFTER_S)
         pause += (1.0 - part) * self._bounds.share_window_s / 2
@@ -235,9 +235,9 @@
         else:
             choice = choose_plain(candidates, self._centre, self._random)
         assert choice is not None
-        over_s = choice.wait_s - self._allowed_wait(demand, service, choice, use)
-        if over_s > 0:
-            return self._overloaded(choice, use, len(rows), over_s)
+        excess_wait_s = choice.wait_s - self._allowed_wait(demand, service, choice, use)
+        if excess_wait_s > 0:
+            return self._overloaded(choice, use, len(rows), excess_wait_s)
         registered = self.registry.get(choice.server)
         assert registered is not None
         source = self.registry.get(choice.source) if choice.source else None
@@ -252,8 +252,8 @@
         charge = view.load.send(server, choice.tokens, now, expected_s)
         if placement.registered.cold(now):
             self._cold_share(view, demand.service).note(now)
-        if choice.tokens >= LARGE_PROMPT_TOKENS and self.on_large is not None:
-            self.on_large()
+        if choice.tokens >= LARGE_PROMPT_TOKENS and self.on_large_prompt is not None:
+            self.on_large_prompt()
         if placement.use is not NO_USE:  # at an engine
             self._capacity(demand.service).note_sent(choice.tokens, demand.units)
         if demand.part:
@@ -274,15 +274,15 @@
         view.load.end(ticket.charge, begun=ticket.begun)
         if not ticket.begun:
             demand, sent_at = ticket.demand, ticket.charge.sent_at
-            self.shares.take_back(demand.workspace, demand.units, sent_at, now)
+            self.shares.refund(demand.workspace, demand.units, sent_at, now)
         if outcome is None:
             if ticket.begun:
-                view.trust.succeed(now)
+                view.health.record_success(now)
                 took = now - ticket.charge.sent_at
                 view.plain_s += PLAIN_LEARNING * (took - view.plain_s)
         else:
             # A server that turns calls away looks idle and would get the most of them.
-            view.trust.fail(now)
+            view.health.record_failure(now)
 
     def expire(self, now: float) -> list[ServerName]:
         """Drop what is over; return the servers that are gone for good."""
@@ -342,7 +342,7 @@
         if server in avoid:
             return False
         view = self._view(server)
-        if view.trust.paused(now):
+        if view.health.in_backoff(now):
             return False
         if service.warmup_rate <= 0 or not row.cold(now):
             return True
@@ -366,7 +366,7 @@
             wait,
             view.load.read_rate,
             view.load.base_s if service.engine is not None else view.plain_s,
-            view.trust.penalty_s(now) + view.load.overdue_s(now),
+            view.health.penalty_s(now) + view.load.overdue_s(now),
             service.engine.fetch_rate if service.engine is not None else 0.0,
         )
 
@@ -381,18 +381,18 @@
         room = max(
             demand.objective_s - choice.read_s, LATE_PROMPT_PART * demand.objective_s
         )
-        return use.wait_part * room * RANK_PART**demand.rank
+        return use.wait_fraction * room * RANK_PART**demand.rank
 
     def _no_server(self) -> Refusal:
         pause = self._random.uniform(*NO_SERVER_RETRY_S)
         return Refusal(RefusalReason.NO_SERVERS, pause)
 
     def _overloaded(
-        self, choice: Choice, use: ShareUse, candidates: int, over_s: float
+        self, choice: Choice, use: ShareUse, candidates: int, excess_wait_s: float
     ) -> Refusal:
         early, late = RETRY_AFTER_S
         pause = self._random.uniform(early, late)
-        over = use.given - 1.0
+        over = use.used_fraction - 1.0
         if over > 0:
             # The share is free again as the window moves on.
             pause += min(over, 1.0) * self._bounds.share_window_s / 2
@@ -404,7 +404,7 @@
             use,
             candidates,
             choice.read_s,
-            over_s,
+            excess_wait_s,
         )
 
     def _view(self, server: ServerName) -> _ServerView:
