--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
@@ -19,7 +19,7 @@
 
 from attrs import define
 
-PLACED_PART = 0.5
+PLACED_FRACTION = 0.5
 """Part of a workspace's calls let in that is to find a place. With less of it,
 places go to whoever looks most often; with all of it, engines would idle for each call
 that is refused for another reason than a lack of room."""
@@ -35,12 +35,12 @@
 """The same where prompts are cached whole."""
 
 
-def let_in_part(entitled: float) -> float:
+def admitted_fraction(entitled: float) -> float:
     """Return the part of a workspace's calls that is tried.
 
     `entitled` is its equal share, as a part of what it asks.
     """
-    return min(1.0, entitled / PLACED_PART)
+    return min(1.0, entitled / PLACED_FRACTION)
 
 
 @define
@@ -54,10 +54,10 @@
     read_part: float = READ_PART  # tokens read for a unit of service
     tokens_per_s: float = 0.0  # that all engines read
 
-    def capacity(self, handed_out: float, window_s: float) -> float:
+    def capacity(self, granted_units: float, window_s: float) -> float:
         """Return the units of service that the engines give in a window."""
         least = self.tokens_per_s * window_s / max(self.read_part, LEAST_READ_PART)
-        return max(handed_out, least)
+        return max(granted_units, least)
 
     def note_sent(self, read_tokens: int, units: float) -> None:
         """Learn from a call that is sent what calls take."""
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_exchange.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_exchange.py
@@ -9,7 +9,7 @@
 from fulmarroad_serving._demands import Ticket
 from fulmarroad_serving._dispatch import Dispatcher
 from fulmarroad_serving._registry import Instance
-from fulmarroad_serving._served_call import Run
+from fulmarroad_serving._served_call import ActiveCall
 from fulmarroad_serving._stream import StreamEvents, WholeEvents
 from fulmarroad_serving.contracts import AnswerHead, CallCodec
 from fulmarroad_serving.exceptions import (
@@ -27,7 +27,7 @@
 """Multiple of the objective after which a silent server is given up, where the call may
 go on elsewhere: late already, and callers leave after about four."""
 
-LEAST_SILENCE_S = 0.7
+MIN_SILENCE_S = 0.7
 """Silence that is never taken as a failure: a lost packet is sent again within it."""
 
 PAUSE_OBJECTIVES = 4.0
@@ -52,7 +52,7 @@
 
     async def exchange(
         self,
-        run: Run,
+        run: ActiveCall,
         connection: BackendConnection,
         instance: Instance,
         ticket: Ticket,
@@ -75,7 +75,7 @@
             await self._pass_whole(run, connection, head, ticket)
 
     def _request_bytes(
-        self, run: Run, instance: Instance, source: Instance | None
+        self, run: ActiveCall, instance: Instance, source: Instance | None
     ) -> bytes:
         call = run.call
         headers = self._codec.server_headers(
@@ -95,7 +95,7 @@
     def _check_head(self, head: AnswerHead, instance: Instance) -> None:
         if head.warmup_left_s > 0:
             now = self._clock()
-            self._dispatcher.registry.chill(instance.id, head.warmup_left_s, now)
+            self._dispatcher.registry.mark_cold(instance.id, head.warmup_left_s, now)
         if head.status == STATUS_MISDIRECTED:
             raise OtherInstanceError("Another backend server has the address.")
         if head.not_run:
@@ -111,7 +111,7 @@
 
     async def _pass_whole(
         self,
-        run: Run,
+        run: ActiveCall,
         connection: BackendConnection,
         head: AnswerHead,
         ticket: Ticket,
@@ -131,7 +131,7 @@
             raise FailedAnswerError(f"The server failed it (status {head.status}).")
         await self.answer(run, head, body)
 
-    async def answer(self, run: Run, head: AnswerHead, body: bytes) -> None:
+    async def answer(self, run: ActiveCall, head: AnswerHead, body: bytes) -> None:
         """Hand on an answer that was read whole."""
         run.summary.first_s = self._clock() - run.begun_at
         length = (b"content-length", str(len(body)).encode())
@@ -140,7 +140,7 @@
 
     async def _pass_large(
         self,
-        run: Run,
+        run: ActiveCall,
         connection: BackendConnection,
         head: AnswerHead,
         parts: list[bytes],
@@ -155,7 +155,7 @@
 
     async def _pass_stream(
         self,
-        run: Run,
+        run: ActiveCall,
         connection: BackendConnection,
         head: AnswerHead,
         ticket: Ticket,
@@ -175,7 +175,7 @@
         await run.responder.finish()
 
     async def _pass_events(
-        self, run: Run, head: AnswerHead, whole: StreamEvents, ticket: Ticket
+        self, run: ActiveCall, head: AnswerHead, whole: StreamEvents, ticket: Ticket
     ) -> None:
         self._note_begun(run, ticket)
         if not run.responder.begun:
@@ -186,13 +186,13 @@
         if whole.last_id:
             run.progress.last_event_id = whole.last_id
 
-    def _note_begun(self, run: Run, ticket: Ticket) -> None:
+    def _note_begun(self, run: ActiveCall, ticket: Ticket) -> None:
         if not ticket.begun:
             now = self._clock()
             run.summary.begun_s = now - ticket.charge.sent_at
             self._dispatcher.begin(ticket, now)
 
-    def _silence_s(self, run: Run) -> float:
+    def _silence_s(self, run: ActiveCall) -> float:
         """Return how long a server may be silent now.
 
         A call that can't go on elsewhere waits until its deadline: ending it sooner
@@ -209,4 +209,4 @@
             limit = PAUSE_OBJECTIVES * route.pause_objective_s
         else:
             limit = FIRST_EVENT_OBJECTIVES * route.objective_s
-        return min(left, max(LEAST_SILENCE_S, limit))
+        return min(left, max(MIN_SILENCE_S, limit))
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fingerprints.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fingerprints.py
@@ -10,7 +10,7 @@
 Fingerprint = bytes
 
 
-def draw_of(fingerprint: Fingerprint) -> float:
+def hash_fraction_of(fingerprint: Fingerprint) -> float:
     """Return a number from 0 to 1 that is the same for each attempt of a request.
 
     A caller that tries more often gets no more chances by it.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
@@ -18,7 +18,7 @@
     Digest,
     MemberId,
     OwnReports,
-    Sum,
+    ReportSum,
     collectors,
     member_id,
     merge,
@@ -29,7 +29,7 @@
 from fulmarroad_serving._routing import PartId
 from fulmarroad_serving._suspects import SuspectRow
 
-MOST_DIRECT = 16
+MAX_DIRECT_PEERS = 16
 """Peers up to which each router tells all others itself: some 100 packets a second."""
 
 KNOWN_EVERY = 6
@@ -47,7 +47,7 @@
 MOST_DIGEST_PARTS = 100
 """Parts in one digest, about 1.7 KB: what a data centre sends between two digests."""
 
-MOST_SUSPECTS = 16
+MAX_SUSPECTS = 16
 """Suspects in one packet, 0.7 to 2 KB: an end that takes a hundred calls down with it
 is told within a second, the most certain first."""
 
@@ -73,7 +73,7 @@
 class _Heard:
     """Hold a sum that a collector sent."""
 
-    total: Sum
+    total: ReportSum
     at: float
     senders: dict[RouterName, float] = field(factory=dict)
 
@@ -112,7 +112,7 @@
     @property
     def relayed(self) -> bool:
         """Tell whether the fleet is too large for everybody to tell everybody."""
-        return self.book.size > MOST_DIRECT
+        return self.book.size > MAX_DIRECT_PEERS
 
     def collectors_of(
         self, centre: DataCentreName, now: float
@@ -162,13 +162,13 @@
         if router in self._expected:
             self._expected[router] = now
 
-    def collects(self, now: float) -> bool:
+    def is_collector(self, now: float) -> bool:
         """Tell whether this router is a collector of its data centre."""
         return self.relayed and self._me in self.collectors_of(self._centre, now)
 
     # what goes out
 
-    def complete(self, report: PeerReport, now: float) -> PeerReport:
+    def complete_report(self, report: PeerReport, now: float) -> PeerReport:
         """Add what depends on the fleet to a report, and remember it."""
         known: list[Member] = []
         if self._greet:
@@ -182,11 +182,11 @@
             known = self.book.members(now)
             if len(known) > MOST_KNOWN:
                 known = self._random.sample(known, MOST_KNOWN)
-        if not self.collects(now):  # else they are in its digests
+        if not self.is_collector(now):  # else they are in its digests
             report = evolve(
                 report,
-                parts=self._dispatcher.parts.news(MOST_PARTS),
-                suspects=self._dispatcher.suspects.news(MOST_SUSPECTS, now),
+                parts=self._dispatcher.parts.pop_updates(MOST_PARTS),
+                suspects=self._dispatcher.suspects.pop_updates(MAX_SUSPECTS, now),
             )
         report = evolve(report, known=tuple(known))
         self._own.note(report)
@@ -211,7 +211,7 @@
 
     def digests(self, now: float) -> list[tuple[Digest, list[str]]]:
         """Return the digests that are due now, each with the hosts that get it."""
-        if self._last is None or not self.collects(now):
+        if self._last is None or not self.is_collector(now):
             self._told = 0
             return []
         with_members = not self._told % MEMBERS_EVERY
@@ -219,8 +219,8 @@
         mine = sum_reports([(self._last, 0.0), *self._near_reports(now)])
         heard = [(row.total, now - row.at) for row in self._fresh_centres(now)]
         fleet = merge([(mine, 0.0), *heard])
-        parts = self._dispatcher.parts.news(MOST_DIGEST_PARTS)
-        suspects = self._dispatcher.suspects.news(MOST_SUSPECTS, now)
+        parts = self._dispatcher.parts.pop_updates(MOST_DIGEST_PARTS)
+        suspects = self._dispatcher.suspects.pop_updates(MAX_SUSPECTS, now)
         me = member_of(self._last, 0.0)
         everybody = self.book.members(now) if with_members else []
         near = [row for row in everybody if row.data_centre == self._centre]
@@ -266,21 +266,21 @@
 
     # what comes in
 
-    def take_report(self, report: PeerReport, now: float) -> bool:
+    def receive_report(self, report: PeerReport, now: float) -> bool:
         """Take a peer's own report; tell whether it is news."""
         is_new = not self.book.knows(report.router)
-        if not self.book.take(report, now):
+        if not self.book.receive_report(report, now):
             return False
         self._note_direct(report.router, now)
         self._note_parts(report.parts, now)
         self._note_suspects(report.suspects, now)
-        if self.relayed and not self.collects(now):
+        if self.relayed and not self.is_collector(now):
             self._maybe_greet(report, is_new=is_new)
         member = member_id(report.router)
         if not self._covers(member, now):
             self._direct[member] = report.router
-            self._dispatcher.hear_load(report.router, report.loads, now)
-            self._dispatcher.shares.hear(report.router, report.counts, now)
+            self._dispatcher.receive_load(report.router, report.loads, now)
+            self._dispatcher.shares.receive_counts(report.router, report.counts, now)
         return True
 
     def _maybe_greet(self, report: PeerReport, *, is_new: bool) -> None:
@@ -292,22 +292,22 @@
         if is_new or (near and report.sequence % KNOWN_EVERY):
             self._greet[report.host] = report.data_centre
 
-    def take_digest(self, digest: Digest, now: float) -> None:
+    def receive_digest(self, digest: Digest, now: float) -> None:
         """Take what a collector tells."""
         for member in digest.members:
-            self.book.take_member(member, now)
+            self.book.merge_member(member, now)
         self._note_direct(digest.sender, now)
         self._note_parts(digest.parts, now)
         self._note_suspects(digest.suspects, now)
         if digest.scope == self._centre:
             return
         if digest.scope:
-            if self.collects(now):
+            if self.is_collector(now):
                 self._take_centre(digest, now)
-        elif not self.collects(now) or self._covers_more(digest.total, now):
+        elif not self.is_collector(now) or self._covers_more(digest.total, now):
             self._take_fleet(digest, now)
 
-    def _covers_more(self, total: Sum, now: float) -> bool:
+    def _covers_more(self, total: ReportSum, now: float) -> bool:
         """Tell whether a collector knows more than this one, which has just begun."""
         known = 1 + len(self._near_reports(now))
         known += sum(len(row.total.sequences) for row in self._fresh_centres(now))
@@ -332,14 +332,14 @@
         if self._centres:
             self._dispatcher.forget_peers({FLEET + scope for scope in self._centres})
             self._centres.clear()
-        self._hear(FLEET, self._own.others(digest.total, self._me), now)
+        self._hear(FLEET, self._own.subtract_own(digest.total, self._me), now)
 
-    def _hear(self, source: str, total: Sum, now: float) -> None:
+    def _hear(self, source: str, total: ReportSum, now: float) -> None:
         twice = self._direct.keys() & total.sequences.keys()
         if twice:
             self._dispatcher.forget_peers({self._direct.pop(row) for row in twice})
-        self._dispatcher.hear_load(source, total.loads, now - total.age_s)
-        self._dispatcher.shares.hear(source, total.counts, now)
+        self._dispatcher.receive_load(source, total.loads, now - total.age_s)
+        self._dispatcher.shares.receive_counts(source, total.counts, now)
 
     def _covers(self, member: MemberId, now: float) -> bool:
         """Tell whether a router's report is in a sum that is believed."""
@@ -347,7 +347,7 @@
         return any(row.fresh(now) and member in row.total.sequences for row in rows)
 
     def _note_parts(self, parts: Iterable[tuple[PartId, str]], now: float) -> None:
-        relay = self.collects(now)
+        relay = self.is_collector(now)
         for part, server in parts:
             if relay:
                 self._dispatcher.parts.send(part, server, now)
@@ -356,5 +356,5 @@
 
     def _note_suspects(self, rows: Iterable[SuspectRow], now: float) -> None:
         if rows:
-            relay = self.collects(now)
-            self._dispatcher.suspects.take(rows, now, relay=relay)
+            relay = self.is_collector(now)
+            self._dispatcher.suspects.merge_rows(rows, now, relay=relay)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
@@ -24,27 +24,27 @@
 from fulmarroad_serving._attempts import CallProgress, SendOutcome
 from fulmarroad_serving._catalog import Catalog, Service
 from fulmarroad_serving._connection import BackendConnection
+from fulmarroad_serving._crash_detector import CrashDetector
 from fulmarroad_serving._demands import Placement, Refusal, Ticket
 from fulmarroad_serving._dispatch import Dispatcher
-from fulmarroad_serving._ended_servers import EndedServers
 from fulmarroad_serving._exchange import Exchanger
 from fulmarroad_serving._holding import HeldCalls
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._registry import Instance
 from fulmarroad_serving._served_call import (
+    ActiveCall,
     CallSummary,
     Responder,
-    Run,
     ServedCall,
     demand_of,
 )
-from fulmarroad_serving._suspects import TRIAL_S, Standing, end_id
+from fulmarroad_serving._suspects import TRIAL_S, SuspectState, crash_id
 from fulmarroad_serving.contracts import CallCodec
 from fulmarroad_serving.exceptions import (
     BarredError,
     BrokenAnswerError,
     ConnectionBrokenError,
-    ConnectionsUsedError,
+    ConnectionLimitError,
     NotSentError,
     OtherInstanceError,
     SendError,
@@ -75,7 +75,7 @@
         self._clock = clock
         self._held = HeldCalls()
         self._exchanger = Exchanger(dispatcher, codec, clock)
-        self._ended = EndedServers(pool, dispatcher.registry, clock)
+        self._ended = CrashDetector(pool, dispatcher.registry, clock)
 
     def admit(self, call: ServedCall, summary: CallSummary) -> None:
         """Count a call that came in, or raise `Refused` if it isn't to be tried."""
@@ -91,7 +91,7 @@
     ) -> None:
         """Answer a call that was admitted, or raise `CallError`."""
         now = self._clock()
-        run = Run(
+        run = ActiveCall(
             call,
             responder,
             demand_of(call),
@@ -114,7 +114,7 @@
             if error is None:
                 return
 
-    def _may_go_on(self, run: Run, error: SendError) -> bool:
+    def _may_go_on(self, run: ActiveCall, error: SendError) -> bool:
         if isinstance(error, WithheldError):
             return False
         self._limit_repeats(run)
@@ -124,29 +124,31 @@
             return True
         return self._dispatcher.take_retry(run.demand.service, self._clock())
 
-    def _withheld(self, run: Run) -> WithheldError | None:
+    def _withheld(self, run: ActiveCall) -> WithheldError | None:
         """Return why the call may not be sent, by the servers that ended under it."""
         suspects, now = self._dispatcher.suspects, self._clock()
         fingerprint = run.call.fingerprint
-        standing = suspects.standing(fingerprint, now)
-        if standing is Standing.CLEAR:
+        suspect_state = suspects.suspect_state(fingerprint, now)
+        if suspect_state is SuspectState.CLEAR:
             return None
         run.summary.fingerprint = fingerprint
-        if standing is Standing.BARRED:
+        if suspect_state is SuspectState.BARRED:
             return BarredError("Servers ended under the request.")
         if suspects.tried(fingerprint, now):
             return WithheldError("Servers ended under the request, and a copy runs.")
         return None
 
-    def _limit_repeats(self, run: Run) -> None:
+    def _limit_repeats(self, run: ActiveCall) -> None:
         """Leave it to the caller to send again what ended two servers."""
         now = self._clock()
-        standing = self._dispatcher.suspects.standing(run.call.fingerprint, now)
-        if standing >= Standing.ALONE:
-            run.progress.allow_no_repeat()
+        suspect_state = self._dispatcher.suspects.suspect_state(
+            run.call.fingerprint, now
+        )
+        if suspect_state >= SuspectState.ISOLATED:
+            run.progress.forbid_repeats()
 
     async def _hold(
-        self, run: Run, placement: Placement | Refusal
+        self, run: ActiveCall, placement: Placement | Refusal
     ) -> Placement | Refusal:
         """Look for a place again while the call may still begin on time."""
         objective_s = run.demand.objective_s
@@ -155,7 +157,7 @@
             while isinstance(placement, Refusal):
                 now = self._clock()
                 held_s = now - run.begun_at
-                pause_s = self._held.next_look_s(placement, objective_s, held_s)
+                pause_s = self._held.next_poll_s(placement, objective_s, held_s)
                 if pause_s is None or pause_s >= run.left_s(now):
                     break
                 await anyio.sleep(pause_s)
@@ -165,7 +167,7 @@
             self._held.count -= 1
         return placement
 
-    def _place(self, run: Run) -> Placement | Refusal:
+    def _place(self, run: ActiveCall) -> Placement | Refusal:
         demand = run.demand
         if run.summary.held_s:
             left_s = max(0.0, demand.objective_s - run.summary.held_s)
@@ -183,23 +185,23 @@
             run.summary.expected_s = choice.wait_s + choice.read_s
         return placement
 
-    def _trial_servers(self, run: Run) -> set[ServerName]:
+    def _trial_servers(self, run: ActiveCall) -> set[ServerName]:
         """Return the servers that a call stays away from, so that it is known which."""
         suspects, now = self._dispatcher.suspects, self._clock()
-        if suspects.standing(run.call.fingerprint, now) < Standing.ALONE:
+        if suspects.suspect_state(run.call.fingerprint, now) < SuspectState.ISOLATED:
             return set()
         tried = suspects.trial_servers(now)
         rows = [row.instance for row in self._dispatcher.registry.rows()]
-        return {row.id for row in rows if end_id(row.id, row.started_ms) in tried}
+        return {row.id for row in rows if crash_id(row.id, row.started_ms) in tried}
 
-    async def _attempt(self, run: Run, placement: Placement) -> SendError | None:
+    async def _attempt(self, run: ActiveCall, placement: Placement) -> SendError | None:
         """Send a call once; return why it brought no whole answer, if it did not."""
         instance = placement.registered.instance
         try:
             connection = await self._acquire(instance, run)
         except NotSentError as error:
-            if not isinstance(error, ConnectionsUsedError):
-                self._dispatcher.trust(instance.id).unreachable(self._clock())
+            if not isinstance(error, ConnectionLimitError):
+                self._dispatcher.health(instance.id).unreachable(self._clock())
             self._note_failure(run, instance.id, error)
             return error
         if run.left_s(self._clock()) <= 0:
@@ -216,7 +218,7 @@
             return withheld
         self._limit_repeats(run)
         suspects, fingerprint = self._dispatcher.suspects, run.call.fingerprint
-        server = end_id(instance.id, instance.started_ms)
+        server = crash_id(instance.id, instance.started_ms)
         suspects.begin(fingerprint, server, self._clock())
         ticket = self._dispatcher.send(run.demand, placement, self._clock())
         run.progress.note_send(instance.id)
@@ -224,7 +226,7 @@
         outcome: SendOutcome | None = None
         try:
             await self._exchanger.exchange(run, connection, instance, ticket)
-            suspects.note_good(fingerprint, self._clock())
+            suspects.note_success(fingerprint, self._clock())
         except SendError as error:
             outcome = error.outcome
             await self._on_failure(run, ticket, instance, error)
@@ -237,17 +239,17 @@
             suspects.end(fingerprint)
         return None
 
-    async def _acquire(self, instance: Instance, run: Run) -> BackendConnection:
+    async def _acquire(self, instance: Instance, run: ActiveCall) -> BackendConnection:
         service = self._service(run)
         routers = len(self._dispatcher.routers)
         return await self._pool.acquire(instance, service.max_connections, routers)
 
     async def _on_failure(
-        self, run: Run, ticket: Ticket, instance: Instance, error: SendError
+        self, run: ActiveCall, ticket: Ticket, instance: Instance, error: SendError
     ) -> None:
         now = self._clock()
         broken = isinstance(error, ConnectionBrokenError)
-        if broken and await self._ended.has_ended(instance, now):
+        if broken and await self._ended.has_crashed(instance, now):
             self._note_ended(run, instance, ticket.answered_s(now))
         if isinstance(error, OtherInstanceError):
             # The address belongs to another server: this one is gone.
@@ -256,14 +258,18 @@
             self._dispatcher.registry.suspect(instance.id, now)
         self._note_failure(run, instance.id, error)
 
-    def _note_ended(self, run: Run, instance: Instance, answered_s: float) -> None:
+    def _note_ended(
+        self, run: ActiveCall, instance: Instance, answered_s: float
+    ) -> None:
         now = self._clock()
-        self._dispatcher.trust(instance.id).unreachable(now)
-        end = end_id(instance.id, instance.started_ms)
+        self._dispatcher.health(instance.id).unreachable(now)
+        end = crash_id(instance.id, instance.started_ms)
         suspects = self._dispatcher.suspects
-        suspects.note_end(run.call.fingerprint, end, now, answered_s=answered_s)
+        suspects.note_crash(run.call.fingerprint, end, now, answered_s=answered_s)
 
-    def _note_failure(self, run: Run, server: ServerName, error: SendError) -> None:
+    def _note_failure(
+        self, run: ActiveCall, server: ServerName, error: SendError
+    ) -> None:
         run.progress.note_outcome(error.outcome, server)
         run.avoid.add(server)
         emit(
@@ -281,7 +287,7 @@
 
     # ends
 
-    async def _give_up(self, run: Run, error: SendError) -> None:
+    async def _give_up(self, run: ActiveCall, error: SendError) -> None:
         """Tell the caller the truth about a call that brought no answer."""
         if run.responder.begun:
             raise AnswerBroken("The answer broke off and could not be resumed.")
@@ -300,13 +306,13 @@
         raise OutcomeUnknown("The call was sent and its answer was lost.")
 
     async def _refuse(
-        self, run: Run, refusal: Refusal, error: SendError | None
+        self, run: ActiveCall, refusal: Refusal, error: SendError | None
     ) -> None:
         if error is not None and run.progress.ran is not Ran.NOT_RUN:
             await self._give_up(run, error)
             return
         raise Refused(refusal.reason, refusal.retry_after_s)
 
-    def _service(self, run: Run) -> Service:
+    def _service(self, run: ActiveCall) -> Service:
         services = self._catalog().services
         return services.get(run.demand.service) or Service(run.demand.service)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_health.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_health.py
@@ -30,34 +30,34 @@
 
 
 @define
-class ServerTrust:
+class ServerHealth:
     """Hold what one router's calls told of one server."""
 
     rate: float = 0.0
     updated_at: float = 0.0
-    pause_until: float = 0.0
-    _pause_s: float = 0.0
+    backoff_until: float = 0.0
+    _backoff_s: float = 0.0
 
-    def succeed(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note a good answer."""
         self._move(0.0, now)
-        self._pause_s = 0.0
-        self.pause_until = 0.0
+        self._backoff_s = 0.0
+        self.backoff_until = 0.0
 
-    def fail(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note a call that the server failed, cut off or left without an answer."""
         self._move(1.0, now)
 
     def unreachable(self, now: float) -> None:
         """Note that no connection could be made."""
-        if now < self.pause_until:
+        if now < self.backoff_until:
             return
-        self._pause_s = min(LONGEST_PAUSE_S, 2 * self._pause_s or FIRST_PAUSE_S)
-        self.pause_until = now + self._pause_s
+        self._backoff_s = min(LONGEST_PAUSE_S, 2 * self._backoff_s or FIRST_PAUSE_S)
+        self.backoff_until = now + self._backoff_s
 
-    def paused(self, now: float) -> bool:
+    def in_backoff(self, now: float) -> bool:
         """Tell whether the server gets nothing for now."""
-        return now < self.pause_until
+        return now < self.backoff_until
 
     def penalty_s(self, now: float) -> float:
         """Return what placement adds to the server's estimate."""
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
@@ -17,11 +17,11 @@
 from fulmarroad.types import RefusalReason
 from fulmarroad_serving._demands import Refusal
 
-HELD_PART = 0.5
+HELD_FRACTION = 0.5
 """Part of the objective that a call may be held, with the time of its reading. The rest
 is margin: held longer, a call goes where an estimate that is off makes it late."""
 
-LOOK_S = 0.01
+POLL_INTERVAL_S = 0.01
 """Time between two looks of a call whose workspace uses nothing of its share; twice as
 long at its share, three times above. About one step of an engine."""
 
@@ -47,7 +47,7 @@
 
     count: int = 0
 
-    def next_look_s(
+    def next_poll_s(
         self, refusal: Refusal, objective_s: float, held_s: float
     ) -> float | None:
         """Return the time until a call looks again, or nothing if it is to be refused.
@@ -56,8 +56,8 @@
         """
         if refusal.reason is not RefusalReason.WAIT_TOO_LONG:
             return None
-        if held_s + refusal.read_s + PLACING_S >= HELD_PART * objective_s:
+        if held_s + refusal.read_s + PLACING_S >= HELD_FRACTION * objective_s:
             return None
-        pace = LOOK_S * (1.0 + min(2.0, refusal.use.given))
-        queue_s = min(QUEUE_PART * refusal.over_s, LONGEST_LOOK_S)
+        pace = POLL_INTERVAL_S * (1.0 + min(2.0, refusal.use.used_fraction))
+        queue_s = min(QUEUE_PART * refusal.excess_wait_s, LONGEST_LOOK_S)
         return max(pace, queue_s, self.count / LOOKS_PER_S)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
@@ -17,7 +17,7 @@
 SAMPLE_S = 0.03
 """Time between two samples."""
 
-STANDING_SAMPLES = 4
+SUSTAINED_SAMPLES = 4
 """Samples in which a delay has to stand. VMs whose processor is shared out by tenths of
 a second stop within each of them, so that single samples are late on an idle one."""
 
@@ -26,14 +26,14 @@
 class LoopLateness:
     """Hold how late the loop ran lately."""
 
-    _samples: deque[float] = field(factory=lambda: deque(maxlen=STANDING_SAMPLES))
+    _samples: deque[float] = field(factory=lambda: deque(maxlen=SUSTAINED_SAMPLES))
     worst_s: float = 0.0
     """Latest sample since this was last set to zero."""
 
     @property
-    def standing_s(self) -> float:
+    def sustained_s(self) -> float:
         """Return the delay that every sample of the last 0.12 s had, in seconds."""
-        if len(self._samples) < STANDING_SAMPLES:
+        if len(self._samples) < SUSTAINED_SAMPLES:
             return 0.0
         return min(self._samples)
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
@@ -143,7 +143,7 @@
         if not begun:
             self.waiting_tokens -= charge.tokens
 
-    def hear(self, router: RouterName, load: PeerLoad, now: float) -> None:
+    def receive_load(self, router: RouterName, load: PeerLoad, now: float) -> None:
         """Take a peer's word."""
         self.peers[router] = (now, load)
         self._summed_at = NEVER
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_measures.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_metrics.py
@@ -11,7 +11,7 @@
 SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
 
 
-class Measures:
+class Metrics:
     """Hold the measures of one router."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
             ["kind", "outcome"],
             registry=self._registry,
         )
-        self.first = Histogram(
+        self.first_answer = Histogram(
             "fulmarroad_first_answer_seconds",
             "Time from a call's arrival to the first part of its answer",
             ["kind"],
@@ -36,7 +36,7 @@
             buckets=ERRORS,
             registry=self._registry,
         )
-        self.whole = Histogram(
+        self.whole_answer = Histogram(
             "fulmarroad_whole_answer_seconds",
             "Time from a call's arrival to the end of its answer",
             ["kind"],
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
@@ -13,12 +13,11 @@
 from fulmarroad.exceptions import MessageError
 from fulmarroad.ownership import watchers
 from fulmarroad.types import DataCentreName, RouterName
-from fulmarroad_serving._beliefs import Beliefs
-from fulmarroad_serving._copies import Copies
 from fulmarroad_serving._digests import is_digest, pack_digest, read_digest
 from fulmarroad_serving._dispatch import Dispatcher
 from fulmarroad_serving._fleet_view import FleetView
 from fulmarroad_serving._positions import era_of
+from fulmarroad_serving._replica_sync import ReplicaSync
 from fulmarroad_serving._reports import (
     PeerBook,
     PeerReport,
@@ -26,6 +25,7 @@
     read_report,
     unpack,
 )
+from fulmarroad_serving._router_state import RouterState
 
 logger = logging.getLogger("fulmarroad.serving")
 
@@ -47,7 +47,7 @@
 """Age at which a peer's contact with the store counts as lost: a watch that waits for
 its whole second, its way and a report."""
 
-FIRST_COPY_S = 0.5
+FIRST_REPLICA_WAIT_S = 0.5
 """Time for which a router that has just started waits for a peer's copy of the store:
 three reports there and back, and the way of the copy."""
 
@@ -65,7 +65,7 @@
         port: int,
         incarnation: int,
         dispatcher: Dispatcher,
-        beliefs: Beliefs,
+        beliefs: RouterState,
         store_ages: Callable[[], tuple[float, float]],
         clock: Callable[[], float],
     ) -> None:
@@ -75,14 +75,14 @@
         self._port = port
         self._incarnation = incarnation
         self._dispatcher = dispatcher
-        self._beliefs = beliefs
+        self._router_state = beliefs
         self._store_ages = store_ages
         self._clock = clock
         self._sequence = 0
         self._news = anyio.Event()
         source = random.Random(incarnation)
         self._view = FleetView(me, centre, host, dispatcher, source)
-        self._copies = Copies(host, port, beliefs, self.book, source, clock)
+        self._replica_sync = ReplicaSync(host, port, beliefs, self.book, source, clock)
         self._begun_at = float("-inf")
         self.seeds: tuple[str, ...] = ()
         self.leaving = False
@@ -97,11 +97,11 @@
         """Return the time between two reports."""
         return RELAYED_REPORT_S if self._view.relayed else REPORT_S
 
-    def tell_news(self) -> None:
+    def trigger_report(self) -> None:
         """Send the next report now: this router's copy of the store has changed."""
         self._news.set()
 
-    def tell_load(self) -> None:
+    def trigger_load_report(self) -> None:
         """Send the next report now: this router has sent a large prompt.
 
         Where reports are summed up on the way, it would wait for the sum in any case.
@@ -126,9 +126,13 @@
         Hundreds of routers that start at once would each list the whole store; those
         that the others turn to read it, and the others ask them.
         """
-        if self._beliefs.replica.known or not self.seeds or self._host in self.seeds:
+        if (
+            self._router_state.replica.known
+            or not self.seeds
+            or self._host in self.seeds
+        ):
             return False
-        return now - self._begun_at < FIRST_COPY_S
+        return now - self._begun_at < FIRST_REPLICA_WAIT_S
 
     async def run(self) -> None:
         """Talk until cancelled."""
@@ -138,19 +142,19 @@
         ) as packets:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._send_reports, packets)
-                group.start_soon(self._copies.pull_news)
+                group.start_soon(self._replica_sync.pull_changes)
                 group.start_soon(self._expire)
 
     async def serve(self) -> None:
         """Give this router's copy of the store to peers, until cancelled."""
-        await self._copies.serve()
+        await self._replica_sync.serve()
 
     async def _send_reports(self, packets: PacketSocket) -> None:
         while True:
             self._news = anyio.Event()
             now = self._clock()
             self._sequence += 1
-            report = self._view.complete(self._report(now), now)
+            report = self._view.complete_report(self._report(now), now)
             hosts = self._view.receivers(self.seeds, self._sequence, now)
             self._send(packets, pack_report(report), hosts)
             for digest, followers in self._view.digests(now):
@@ -180,7 +184,7 @@
             self._centre,
             self._host,
             self.leaving,
-            self._beliefs.replica.news_at,
+            self._router_state.replica.news_at,
             min(age, 1e6),
             min(calm, 1e6),
             self._dispatcher.own_load(),
@@ -197,27 +201,27 @@
         row = unpack(data)
         now = self._clock()
         known = self.book.size
-        era = era_of(self._beliefs.replica.at)
+        era = era_of(self._router_state.replica.at)
         if is_digest(row):
             digest = read_digest(row, era)
-            self._view.take_digest(digest, now)
+            self._view.receive_digest(digest, now)
             newest = max((member.news_at for member in digest.members), default=0)
         else:
             report = read_report(row, era)
-            self._view.take_report(report, now)
+            self._view.receive_report(report, now)
             newest = report.news_at
         if self.book.size != known:
             # Shares of the fleet's bounds must not stay those of a smaller fleet.
             self._remember(now)
-        if newest > self._beliefs.replica.at:
-            self._copies.want()
+        if newest > self._router_state.replica.at:
+            self._replica_sync.request_pull()
 
     def _remember(self, now: float) -> None:
         """Tell the dispatcher which routers may exist, where that has changed.
 
         What is worked out by them is kept for as long as it is the same object.
         """
-        routers = self.book.remembered(now)
+        routers = self.book.known_routers(now)
         if routers != self._dispatcher.routers:
             self._dispatcher.routers = routers
 
@@ -226,7 +230,7 @@
         while True:
             await anyio.sleep(EXPIRE_S)
             now = self._clock()
-            self._beliefs.expire()
+            self._router_state.expire()
             self._remember(now)
             heard = self._tell_changes(heard, now)
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
@@ -14,8 +14,8 @@
 from fulmarroad_serving._connection import BackendConnection
 from fulmarroad_serving._registry import Instance
 from fulmarroad_serving.exceptions import (
+    ConnectionLimitError,
     ConnectionRefusedByHostError,
-    ConnectionsUsedError,
     NotSentError,
 )
 
@@ -57,7 +57,7 @@
             self._drop(kept, connection)
         share = max(1, math.floor(max_connections / assumed_routers(routers)))
         if kept.open >= share:
-            raise ConnectionsUsedError(
+            raise ConnectionLimitError(
                 "Every connection that this router may hold to the server is in use."
             )
         kept.open += 1
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reader.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reader.py
@@ -15,8 +15,8 @@
 import anyio
 
 from fulmarroad.events import Event, emit
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._positions import era_of, revision_of
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving.contracts import StateStore
 from fulmarroad_serving.exceptions import HistoryLostError, StoreError
 
@@ -41,13 +41,13 @@
     def __init__(
         self,
         store: StateStore,
-        beliefs: Beliefs,
+        beliefs: RouterState,
         due: Callable[[], bool],
         clock: Callable[[], float],
         seed: int,
     ) -> None:
         self._store = store
-        self._beliefs = beliefs
+        self._router_state = beliefs
         self._due = due
         self._clock = clock
         self._random = random.Random(seed)
@@ -60,7 +60,7 @@
         """Return the time since the store last answered this router."""
         return self._clock() - self._heard_at
 
-    def calm_s(self) -> float:
+    def failure_age_s(self) -> float:
         """Return the time since the store last failed this router."""
         return self._clock() - self._failed_at
 
@@ -69,7 +69,9 @@
         while True:
             if not self._due():
                 # What is missed meanwhile comes by peers, whose copy may be older.
-                self._must_list = self._must_list or not self._beliefs.replica.known
+                self._must_list = (
+                    self._must_list or not self._router_state.replica.known
+                )
                 await anyio.sleep(IDLE_CHECK_S)
                 continue
             try:
@@ -84,13 +86,13 @@
                 await anyio.sleep(self._random.uniform(*RETRY_S))
 
     async def _read(self) -> None:
-        if self._must_list or not self._beliefs.replica.known:
+        if self._must_list or not self._router_state.replica.known:
             listing = await self._store.list_all()
             self._note_heard()
             self._must_list = False
-            known_at = self._beliefs.replica.at
-            changed = self._beliefs.take_listing(
-                listing.items, listing.at, self.calm_s(), "store"
+            known_at = self._router_state.replica.at
+            changed = self._router_state.apply_listing(
+                listing.items, listing.at, self.failure_age_s(), "store"
             )
             emit(
                 logger,
@@ -102,16 +104,20 @@
                 changed=changed,
             )
             return
-        listing = await self._store.watch(self._beliefs.replica.at, WATCH_S)
+        listing = await self._store.watch(self._router_state.replica.at, WATCH_S)
         self._note_heard()
-        self._beliefs.take_changes(listing.items, listing.at, self.calm_s(), "store")
+        self._router_state.apply_changes(
+            listing.items, listing.at, self.failure_age_s(), "store"
+        )
         await anyio.sleep(BATCH_S)
 
     def _note_heard(self) -> None:
         self._heard_at = self._clock()
         if self._lost:
             self._lost = False
-            emit(logger, Event.STORE_BACK, at=revision_of(self._beliefs.replica.at))
+            emit(
+                logger, Event.STORE_BACK, at=revision_of(self._router_state.replica.at)
+            )
 
     def _note_lost(self, error: StoreError) -> None:
         self._failed_at = self._clock()
@@ -121,5 +127,5 @@
                 logger,
                 Event.STORE_LOST,
                 cause=error.message,
-                at=revision_of(self._beliefs.replica.at),
+                at=revision_of(self._router_state.replica.at),
             )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
@@ -102,16 +102,21 @@
         self._listed = True
 
     def remove(
-        self, server: ServerName, now: float, *, store_calm_s: float = LAPSE_GRACE_S
+        self,
+        server: ServerName,
+        now: float,
+        *,
+        store_failure_age_s: float = LAPSE_GRACE_S,
     ) -> bool:
         """Drop a server, or keep it until it would be back; tell whether it is gone.
 
-        `store_calm_s` is the time since the store last failed whoever read the removal.
+        `store_failure_age_s` is the time since the store last failed whoever read the
+        removal.
         """
         row = self._rows.get(server)
         if row is None:
             return False
-        grace = LAPSE_GRACE_S - store_calm_s
+        grace = LAPSE_GRACE_S - store_failure_age_s
         if grace > 0 and not row.instance.draining:
             row.lapses_at = now + grace
             return False
@@ -142,12 +147,12 @@
             self._usable.clear()
         return gone
 
-    def leave_centre(self, centre: DataCentreName) -> None:
+    def exclude_centre(self, centre: DataCentreName) -> None:
         """Send nothing more to a data centre."""
         self._left.add(centre)
         self._usable.clear()
 
-    def return_centre(self, centre: DataCentreName) -> None:
+    def include_centre(self, centre: DataCentreName) -> None:
         """Let a data centre take work again."""
         self._left.discard(centre)
         self._usable.clear()
@@ -158,7 +163,7 @@
         if row is not None:
             row.suspect_until = now + SUSPECT_S
 
-    def chill(self, server: ServerName, left_s: float, now: float) -> None:
+    def mark_cold(self, server: ServerName, left_s: float, now: float) -> None:
         """Note that a server said that it is cold."""
         row = self._rows.get(server)
         if row is not None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_replica.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica.py
@@ -29,10 +29,10 @@
 
 @frozen
 class ReplicaDelta:
-    """Hold what a peer lacks; `whole` says that nothing else exists."""
+    """Hold what a peer lacks; `is_snapshot` says that nothing else exists."""
 
     at: Position
-    whole: bool
+    is_snapshot: bool
     items: tuple[ReplicaItem, ...]
 
 
@@ -98,11 +98,11 @@
         )
         return ReplicaDelta(self.at, whole, tuple(items))
 
-    def take_delta(self, delta: ReplicaDelta) -> tuple[ReplicaItem, ...]:
+    def apply_delta(self, delta: ReplicaDelta) -> tuple[ReplicaItem, ...]:
         """Take in what a peer gave."""
         if delta.at == 0:
             return ()
-        if delta.whole:
+        if delta.is_snapshot:
             return self.replace(delta.items, delta.at)
         return self.merge(delta.items, delta.at)
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_copies.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
@@ -14,10 +14,10 @@
 from fulmarroad.events import Event, emit
 from fulmarroad.exceptions import MessageError, TransportError
 from fulmarroad.types import RouterName
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._positions import Position, era_of, position, revision_of
 from fulmarroad_serving._replica import ReplicaDelta, ReplicaItem
 from fulmarroad_serving._reports import PeerBook, PeerReport
+from fulmarroad_serving._router_state import RouterState
 
 logger = logging.getLogger("fulmarroad.serving")
 
@@ -40,21 +40,21 @@
 """What bytes of another format raise; anything else would end the task that reads."""
 
 
-class Copies:
+class ReplicaSync:
     """Give this router's copy to peers, and take news from theirs."""
 
     def __init__(
         self,
         host: str,
         port: int,
-        beliefs: Beliefs,
+        beliefs: RouterState,
         book: PeerBook,
         source: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._host = host
         self._port = port
-        self._beliefs = beliefs
+        self._router_state = beliefs
         self._book = book
         self._random = source
         self._clock = clock
@@ -64,9 +64,9 @@
     @property
     def _era(self) -> int:
         """Return the store's era as known here; peers of before state none."""
-        return era_of(self._beliefs.replica.at)
+        return era_of(self._router_state.replica.at)
 
-    def want(self) -> None:
+    def request_pull(self) -> None:
         """Pull from a peer: one of them has news."""
         self._wanted.set()
 
@@ -78,7 +78,7 @@
         async with listener:
             await listener.serve(self._give)
 
-    async def pull_news(self) -> None:
+    async def pull_changes(self) -> None:
         """Pull whenever a peer has news, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
@@ -97,7 +97,7 @@
         try:
             with anyio.fail_after(PULL_TIMEOUT_S):
                 delta = await self._ask(peer.host)
-            self._beliefs.take_delta(delta, peer.store_calm_s, peer.router)
+            self._router_state.apply_delta(delta, peer.store_failure_age_s, peer.router)
         except (OSError, TimeoutError, MessageError, anyio.EndOfStream) as error:
             emit(
                 logger,
@@ -113,7 +113,7 @@
         ahead = [
             peer
             for peer in self._book.alive(self._clock())
-            if peer.news_at > self._beliefs.replica.at
+            if peer.news_at > self._router_state.replica.at
             and peer.router not in self._asked
         ]
         if not ahead:
@@ -123,7 +123,7 @@
 
     async def _ask(self, host: str) -> ReplicaDelta:
         async with await anyio.connect_tcp(host, self._port) as stream:
-            await stream.send(_asked_bytes(self._beliefs.replica.at))
+            await stream.send(_asked_bytes(self._router_state.replica.at))
             await stream.send_eof()
             return _read_delta(await _read_all(stream), self._era)
 
@@ -132,7 +132,7 @@
             try:
                 with anyio.fail_after(PULL_TIMEOUT_S):
                     asked = _read_asked(await _read_all(stream), self._era)
-                    delta = self._beliefs.replica.since(asked)
+                    delta = self._router_state.replica.since(asked)
                     await stream.send(_delta_bytes(delta))
                     await stream.send_eof()
             except (OSError, TimeoutError, MessageError) as error:
@@ -172,7 +172,9 @@
         for item in delta.items
     ]
     return bytes(
-        msgpack.packb([revision_of(delta.at), delta.whole, items, era_of(delta.at)])
+        msgpack.packb(
+            [revision_of(delta.at), delta.is_snapshot, items, era_of(delta.at)]
+        )
     )
 
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -44,7 +44,7 @@
     leaving: bool
     news_at: Position
     store_age_s: float
-    store_calm_s: float
+    store_failure_age_s: float
     age_s: float  # of that report when this was written
 
 
@@ -60,7 +60,7 @@
     leaving: bool
     news_at: Position  # the store's at which its copy last changed
     store_age_s: float  # since it heard from the store itself; negative: never
-    store_calm_s: float  # since the store last failed it
+    store_failure_age_s: float  # since the store last failed it
     loads: Mapping[ServerName, PeerLoad] = field(factory=dict)
     counts: Mapping[WorkspaceName, WorkspaceCount] = field(factory=dict)
     known: tuple[Member, ...] = ()  # other routers
@@ -80,7 +80,7 @@
         report.leaving,
         revision_of(report.news_at),
         round(report.store_age_s, 2),
-        round(report.store_calm_s, 2),
+        round(report.store_failure_age_s, 2),
         pack_loads(report.loads),
         pack_counts(report.counts),
         [pack_member(row) for row in report.known],
@@ -107,7 +107,7 @@
         [
             row.fingerprint,
             [[end, _pack_age(age_s)] for end, age_s in row.ends],
-            _pack_age(row.good_age_s),
+            _pack_age(row.success_age_s),
             None if row.trial is None else [row.trial[0], _pack_age(row.trial[1])],
         ]
         for row in suspects
@@ -170,7 +170,7 @@
         report.leaving,
         report.news_at,
         report.store_age_s,
-        report.store_calm_s,
+        report.store_failure_age_s,
         age_s,
     )
 
@@ -186,7 +186,7 @@
         member.leaving,
         member.news_at,
         member.store_age_s,
-        member.store_calm_s,
+        member.store_failure_age_s,
     )
 
 
@@ -201,7 +201,7 @@
         member.leaving,
         revision_of(member.news_at),
         round(member.store_age_s, 2),
-        round(member.store_calm_s, 2),
+        round(member.store_failure_age_s, 2),
         round(member.age_s, 2),
         era_of(member.news_at),
     ]
@@ -226,7 +226,7 @@
         leaving=bool(row[5]),
         news_at=_read_position(row[6], row, 10, era),
         store_age_s=float(row[7]),
-        store_calm_s=float(row[8]),
+        store_failure_age_s=float(row[8]),
         age_s=float(row[9]),
     )
 
@@ -261,7 +261,7 @@
             leaving=bool(row[6]),
             news_at=_read_position(row[7], row, 15, era),
             store_age_s=float(row[8]),
-            store_calm_s=float(row[9]),
+            store_failure_age_s=float(row[9]),
             loads=read_loads(row[10]),
             counts=read_counts(row[11]),
             known=tuple(read_member(member, era) for member in row[12]),
@@ -301,7 +301,7 @@
         """Tell whether a peer was ever heard of."""
         return router in self._hosts
 
-    def take(self, report: PeerReport, now: float) -> bool:
+    def receive_report(self, report: PeerReport, now: float) -> bool:
         """Take a peer's own report; tell whether it is news."""
         if report.router == self._me:
             return False
@@ -320,10 +320,10 @@
             peer.report, peer.heard_at = report, now
         self._hosts[report.router] = report.host
         for member in report.known:
-            self.take_member(member, now)
+            self.merge_member(member, now)
         return True
 
-    def take_member(self, member: Member, now: float) -> None:
+    def merge_member(self, member: Member, now: float) -> None:
         """Take what another router says of a peer."""
         if member.router == self._me:
             return
@@ -361,7 +361,7 @@
             if now - peer.heard_at < within_s
         ]
 
-    def remembered(self, now: float) -> list[RouterName]:
+    def known_routers(self, now: float) -> list[RouterName]:
         """Return every router that may exist, this one too, sorted."""
         for name, peer in list(self._peers.items()):
             if now - peer.heard_at >= REMEMBERED_S:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_beliefs.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
@@ -24,7 +24,7 @@
     CentreFact,
     Fact,
     InstanceFact,
-    InstanceGoneFact,
+    InstanceRemovedFact,
     StateStore,
     UnusableFact,
 )
@@ -42,12 +42,12 @@
 
     fact: Fact
     revision: int
-    calm_s: float
+    failure_age_s: float
     source: str
     due: float
 
 
-class Beliefs:
+class RouterState:
     """Turn items of the store into what the dispatcher goes by."""
 
     def __init__(
@@ -68,33 +68,43 @@
         self.replica = StateReplica()
         self.index: CatalogIndex | None = None
         self.on_catalog: Callable[[Catalog], None] = lambda catalog: None
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
     @property
     def catalog(self) -> Catalog:
         """Return the configuration in force; version 0 while none is known."""
         return self.index.catalog if self.index is not None else Catalog(0)
 
-    def take_listing(
-        self, items: Iterable[ReplicaItem], at: Position, calm_s: float, source: str
+    def apply_listing(
+        self,
+        items: Iterable[ReplicaItem],
+        at: Position,
+        failure_age_s: float,
+        source: str,
     ) -> int:
         """Take a whole listing of the store; return how many items were news."""
         before = self.replica.at
         fresh = self.replica.replace(items, at)
-        self._apply(before, fresh, calm_s, source)
+        self._apply(before, fresh, failure_age_s, source)
         return len(fresh)
 
-    def take_changes(
-        self, items: Iterable[ReplicaItem], at: Position, calm_s: float, source: str
+    def apply_changes(
+        self,
+        items: Iterable[ReplicaItem],
+        at: Position,
+        failure_age_s: float,
+        source: str,
     ) -> None:
         """Take changes of the store."""
         before = self.replica.at
-        self._apply(before, self.replica.merge(items, at), calm_s, source)
+        self._apply(before, self.replica.merge(items, at), failure_age_s, source)
 
-    def take_delta(self, delta: ReplicaDelta, calm_s: float, source: str) -> None:
+    def apply_delta(
+        self, delta: ReplicaDelta, failure_age_s: float, source: str
+    ) -> None:
         """Take what a peer gave."""
         before = self.replica.at
-        self._apply(before, self.replica.take_delta(delta), calm_s, source)
+        self._apply(before, self.replica.apply_delta(delta), failure_age_s, source)
 
     def expire(self) -> None:
         """Drop servers whose entries have not come back, and idle connections."""
@@ -105,18 +115,18 @@
         for key, row in list(self._doubted.items()):
             if now >= row.due:
                 del self._doubted[key]
-                self._take(row.fact, row.revision, row.calm_s, row.source)
+                self._take(row.fact, row.revision, row.failure_age_s, row.source)
 
     def _apply(
         self,
         before: Position,
         items: tuple[ReplicaItem, ...],
-        calm_s: float,
+        failure_age_s: float,
         source: str,
     ) -> None:
         self._note_era(before, source)
         # A return is an outage, also where no call fell into it.
-        calm_s = min(calm_s, self._clock() - self._returned_at)
+        failure_age_s = min(failure_age_s, self._clock() - self._returned_at)
         for item in items:
             fact = self._store.decode(item)
             self._doubted.pop(item.key, None)
@@ -125,12 +135,14 @@
             if self._doubts(fact):
                 due = self._returned_at + REWRITE_S
                 revision = revision_of(item.revision)
-                self._doubted[item.key] = _Doubted(fact, revision, calm_s, source, due)
+                self._doubted[item.key] = _Doubted(
+                    fact, revision, failure_age_s, source, due
+                )
             else:
-                self._take(fact, revision_of(item.revision), calm_s, source)
+                self._take(fact, revision_of(item.revision), failure_age_s, source)
         if items:
             self._dispatcher.registry.note_listed()
-            self.on_news()
+            self.on_change()
 
     def _note_era(self, before: Position, source: str) -> None:
         """Note that the store came back from an older copy of itself."""
@@ -156,21 +168,25 @@
             return False
         registry = self._dispatcher.registry
         if isinstance(fact, CentreFact):
-            return not fact.leaves and fact.data_centre in registry.centres_left
+            return not fact.excluded and fact.data_centre in registry.centres_left
         return isinstance(fact, InstanceFact) and registry.is_over(fact.instance)
 
-    def _take(self, fact: Fact, revision: int, calm_s: float, source: str) -> None:
+    def _take(
+        self, fact: Fact, revision: int, failure_age_s: float, source: str
+    ) -> None:
         if isinstance(fact, CatalogFact):
             self._take_catalog(fact.catalog, revision, source)
         elif isinstance(fact, InstanceFact):
             self._take_instance(fact.instance, revision, source)
-        elif isinstance(fact, InstanceGoneFact):
-            self._take_gone(fact, revision, calm_s)
+        elif isinstance(fact, InstanceRemovedFact):
+            self._take_gone(fact, revision, failure_age_s)
         elif isinstance(fact, CentreFact):
             self._take_centre(fact, revision, source)
         elif isinstance(fact, UnusableFact):
             if fact.server:
-                self._take_gone(InstanceGoneFact(fact.server), revision, calm_s)
+                self._take_gone(
+                    InstanceRemovedFact(fact.server), revision, failure_age_s
+                )
             emit(
                 logger,
                 Event.STORE_ITEM_UNUSABLE,
@@ -224,9 +240,13 @@
             source=source,
         )
 
-    def _take_gone(self, fact: InstanceGoneFact, revision: int, calm_s: float) -> None:
+    def _take_gone(
+        self, fact: InstanceRemovedFact, revision: int, failure_age_s: float
+    ) -> None:
         registry = self._dispatcher.registry
-        if registry.remove(fact.server, self._clock(), store_calm_s=calm_s):
+        if registry.remove(
+            fact.server, self._clock(), store_failure_age_s=failure_age_s
+        ):
             self._note_gone(fact.server, "removed", revision)
 
     def _note_gone(self, server: str, cause: str, revision: int) -> None:
@@ -236,13 +256,13 @@
     def _take_centre(self, fact: CentreFact, revision: int, source: str) -> None:
         registry = self._dispatcher.registry
         was_left = fact.data_centre in registry.centres_left
-        if fact.leaves == was_left:
+        if fact.excluded == was_left:
             return
-        if fact.leaves:
-            registry.leave_centre(fact.data_centre)
+        if fact.excluded:
+            registry.exclude_centre(fact.data_centre)
             emit(logger, Event.CENTRE_LEFT, data_centre=fact.data_centre, at=revision)
         else:
-            registry.return_centre(fact.data_centre)
+            registry.include_centre(fact.data_centre)
             emit(
                 logger, Event.CENTRE_RETURNED, data_centre=fact.data_centre, at=revision
             )
@@ -250,7 +270,7 @@
             Subject.DATA_CENTRE,
             fact.data_centre,
             before="left" if was_left else "in service",
-            after="left" if fact.leaves else "in service",
+            after="left" if fact.excluded else "in service",
             cause=source,
             version=revision,
         )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
@@ -146,7 +146,7 @@
         if now - before > REMEMBERED_S / 2:
             self._untold[(part, server)] = None
 
-    def news(self, most: int) -> tuple[tuple[PartId, ServerName], ...]:
+    def pop_updates(self, most: int) -> tuple[tuple[PartId, ServerName], ...]:
         """Return what peers were not told yet, the oldest first."""
         pairs = tuple(self._untold)[:most]
         for pair in pairs:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
@@ -82,7 +82,7 @@
 
     def adapt(self, now: float) -> None:
         """Follow the newest sample of the loop's delay."""
-        late_s = self.lateness.standing_s
+        late_s = self.lateness.sustained_s
         self._part = _moved(self._part, late=late_s >= LATE_S)
         self._short_part = _moved(self._short_part, late=late_s >= SHORT_CALL_LATE_S)
         self._now = now
@@ -96,9 +96,9 @@
             self._pause_s = longer_s if again else SATURATED_S
         self._saturated_until = now + self._pause_s
 
-    def turns_away(self, kind: CallKind) -> bool:
+    def should_shed(self, kind: CallKind) -> bool:
         """Tell whether a call of a kind is one too many now."""
-        late_s = self.lateness.standing_s
+        late_s = self.lateness.sustained_s
         if kind is CallKind.STREAM:
             limit_s, part = FAR_TOO_LATE_S, self._part
         else:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
@@ -11,7 +11,7 @@
 from fulmarroad_serving._attempts import CallProgress
 from fulmarroad_serving._catalog import ServedRoute
 from fulmarroad_serving._demands import Demand
-from fulmarroad_serving._fingerprints import Fingerprint, draw_of
+from fulmarroad_serving._fingerprints import Fingerprint, hash_fraction_of
 from fulmarroad_serving._shares import NO_USE, ShareUse
 from fulmarroad_serving.contracts import AnswerHead, CallHead
 
@@ -70,7 +70,7 @@
 
 
 @define
-class Run:
+class ActiveCall:
     """Hold one call while it is carried."""
 
     call: ServedCall
@@ -99,6 +99,6 @@
         head.shared_tokens,
         head.own_tokens,
         head.output_tokens,
-        draw_of(call.fingerprint),
+        hash_fraction_of(call.fingerprint),
         call.rank,
     )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
@@ -43,13 +43,13 @@
 """Part of what the best served one gets that a workspace has to ask for to count as
 lacking: a few calls that came at a bad moment are no reason to turn others away."""
 
-LACKING_WAIT = 0.6
+UNDERSERVED_WAIT_FRACTION = 0.6
 """Part that a workspace may wait which lacks something, though it is above its share:
 what a workspace may that is just at its share. Those that get the most leave their
 places then, but with few engines left there is always a queue, and places would go to
 whoever asks at the right moment."""
 
-LEAST_WAIT = 0.06
+MIN_WAIT_FRACTION = 0.06
 """Part that even the largest workspace may wait: an engine with less waiting than a
 small prompt has room for everybody."""
 
@@ -78,9 +78,9 @@
     return float("inf")
 
 
-def wait_part(use: float) -> float:
+def wait_fraction(use: float) -> float:
     """Return the part of an objective that may be spent waiting, by the share used."""
-    return max(LEAST_WAIT, min(1.0, (OVER_USE - use) / (OVER_USE - FULL_USE)))
+    return max(MIN_WAIT_FRACTION, min(1.0, (OVER_USE - use) / (OVER_USE - FULL_USE)))
 
 
 def given_level(totals: Mapping[WorkspaceName, WorkspaceCount], stated: float) -> float:
@@ -96,7 +96,7 @@
     return max_min_level(asked, max(given, stated))
 
 
-def lacking(
+def underserved_workspaces(
     totals: Mapping[WorkspaceName, WorkspaceCount],
 ) -> frozenset[WorkspaceName]:
     """Return the workspaces that get far less than they ask and than others get."""
@@ -117,7 +117,7 @@
 
 
 @frozen
-class ShareStanding:
+class ShareStatus:
     """Say what a workspace asked and got in the window, in the whole fleet."""
 
     asked: float
@@ -129,10 +129,10 @@
 class ShareUse:
     """Say which part of its share a workspace uses; one is all of it."""
 
-    given: float = 0.0  # of an equal share of what is handed out now
-    among_most: bool = False  # gets about as much as the best served one
-    lacks: bool = False  # gets far less than it asks and than others get
-    others_lack: bool = False  # others get far less of what they ask
+    used_fraction: float = 0.0  # of an equal share of what is handed out now
+    among_largest: bool = False  # gets about as much as the best served one
+    is_underserved: bool = False  # gets far less than it asks and than others get
+    others_underserved: bool = False  # others get far less of what they ask
     shortage: float = 0.0  # part of what all ask that is turned away
 
     @property
@@ -144,7 +144,7 @@
         keep several times the share of one that asks seldom. It may use what stands
         empty, so nothing is lost while those who lack something ask for other engines.
         """
-        return self.among_most and self.others_lack
+        return self.among_largest and self.others_underserved
 
     @property
     def may_spread(self) -> bool:
@@ -154,13 +154,13 @@
         that lacks something would be tied to engines that happen to be busy while
         others stand empty.
         """
-        return self.lacks or self.given <= 1.0
+        return self.is_underserved or self.used_fraction <= 1.0
 
     @property
-    def wait_part(self) -> float:
+    def wait_fraction(self) -> float:
         """Return the part of an objective that may be spent waiting."""
-        part = wait_part(self.given)
-        return max(LACKING_WAIT, part) if self.lacks else part
+        part = wait_fraction(self.used_fraction)
+        return max(UNDERSERVED_WAIT_FRACTION, part) if self.is_underserved else part
 
 
 NO_USE = ShareUse()
@@ -180,13 +180,13 @@
     _summed_at: float = float("-inf")
     _totals: dict[WorkspaceName, WorkspaceCount] = field(factory=dict)
     _asked_totals: dict[WorkspaceName, float] = field(factory=dict)
-    _handed_out: float = 0.0
+    _granted_units: float = 0.0
     _levels: dict[float, float] = field(factory=dict)
     """Levels by capacity, for as long as the totals stand: each call asks for one."""
     _given_level: float = float("inf")
     _most: float = 0.0
     _shortage: float = 0.0
-    _lacking: frozenset[WorkspaceName] = frozenset()
+    _underserved: frozenset[WorkspaceName] = frozenset()
 
     def note_asked(self, workspace: WorkspaceName, units: float, now: float) -> None:
         """Count a call that came in."""
@@ -196,7 +196,7 @@
         """Count a call that is sent to a server."""
         self._window(self._got, workspace).add(units, now)
 
-    def take_back(
+    def refund(
         self, workspace: WorkspaceName, units: float, sent_at: float, now: float
     ) -> None:
         """Uncount a call that ended without an answer.
@@ -207,7 +207,7 @@
         if now - sent_at < self.window_s:
             self._window(self._got, workspace).add(-units, now)
 
-    def hear(
+    def receive_counts(
         self,
         router: RouterName,
         counts: Mapping[WorkspaceName, WorkspaceCount],
@@ -240,21 +240,21 @@
         self._refresh(now)
         count = self._totals.get(workspace)
         used = (count.got if count else 0.0) + units
-        lacks = workspace in self._lacking
+        is_underserved = workspace in self._underserved
         return ShareUse(
             _part_of(used, self._given_level),
-            among_most=used > LACKING_PART * self._most and not lacks,
-            lacks=lacks,
-            others_lack=bool(self._lacking - {workspace}),
+            among_largest=used > LACKING_PART * self._most and not is_underserved,
+            is_underserved=is_underserved,
+            others_underserved=bool(self._underserved - {workspace}),
             shortage=self._shortage,
         )
 
-    def handed_out(self, now: float) -> float:
+    def granted_units(self, now: float) -> float:
         """Return the units that all workspaces got in the window."""
         self._refresh(now)
-        return self._handed_out
+        return self._granted_units
 
-    def entitled_part(
+    def entitled_fraction(
         self, workspace: WorkspaceName, units: float, now: float
     ) -> float:
         """Return a workspace's equal share as a part of what it asks, at times above 1.
@@ -271,11 +271,11 @@
             level = self._levels[capacity] = max_min_level(self._asked_totals, capacity)
         return level / count.asked
 
-    def standing(self, workspace: WorkspaceName, now: float) -> ShareStanding:
+    def share_status(self, workspace: WorkspaceName, now: float) -> ShareStatus:
         """Return what a workspace asked and got, against an equal share."""
         self._refresh(now)
         count = self._totals.get(workspace, WorkspaceCount(0.0, 0.0))
-        return ShareStanding(count.asked, count.got, self._given_level)
+        return ShareStatus(count.asked, count.got, self._given_level)
 
     def _refresh(self, now: float) -> None:
         if now - self._summed_at >= REFRESH_S:
@@ -294,13 +294,13 @@
                 )
         self._summed_at = now
         self._totals = totals
-        self._handed_out = sum(count.got for count in totals.values())
+        self._granted_units = sum(count.got for count in totals.values())
         self._levels.clear()
         self._asked_totals = {name: count.asked for name, count in totals.items()}
         capacity = self.units_per_s * self.window_s
         self._given_level = given_level(totals, capacity)
         self._most = max((count.got for count in totals.values()), default=0.0)
-        self._lacking = lacking(totals)
+        self._underserved = underserved_workspaces(totals)
         self._shortage = shortage(totals)
 
     def _window(
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shortlist.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shortlist.py
@@ -23,14 +23,14 @@
 HOLDERS = 6
 """Servers looked at that were sent the part last."""
 
-FIRST = 6
+HOME_CANDIDATES = 6
 """Servers looked at from the front of the part's order, where it spreads to."""
 
 OTHERS = 4
 """Servers looked at besides, at random: enough to avoid the fullest, and so few that
 two calls seldom see the same ones."""
 
-MOST = HOLDERS + FIRST + OTHERS
+MAX_CANDIDATES = HOLDERS + HOME_CANDIDATES + OTHERS
 """Servers of a service up to which every call looks at all of them."""
 
 REMEMBERED_ORDERS = 4_096
@@ -59,12 +59,12 @@
         `holders` tells when each server was sent the part. `servers` has to be the
         same object for as long as nobody comes or goes.
         """
-        if len(servers) <= MOST:
+        if len(servers) <= MAX_CANDIDATES:
             return servers
         if servers is not self._servers:
             self._start(servers)
         if not part:
-            return self._random.sample(servers, MOST)
+            return self._random.sample(servers, MAX_CANDIDATES)
         names = dict.fromkeys(heapq.nlargest(HOLDERS, holders, key=holders.__getitem__))
         names.update(dict.fromkeys(self._front(part)))
         names.update(dict.fromkeys(self._random.sample(self._names, OTHERS)))
@@ -82,6 +82,6 @@
             if len(self._first) >= REMEMBERED_ORDERS:
                 self._first.clear()
             weights = {name: hash_weight(part, name) for name in self._names}
-            front = heapq.nlargest(FIRST, weights, key=weights.__getitem__)
+            front = heapq.nlargest(HOME_CANDIDATES, weights, key=weights.__getitem__)
             self._first[part] = front
         return front
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
@@ -39,7 +39,7 @@
 """Time for which a request was being answered, from which on an end of its server isn't
 laid to it: one that ends servers does so as they begin it."""
 
-MOST_RECORDS = 512
+MAX_RECORDS = 512
 """Suspects kept, about 0.3 MB; the least certain and oldest go first."""
 
 MOST_GOOD = 1_024
@@ -57,16 +57,16 @@
 LEAST_NEWER_S = 0.5
 """Difference in time below which two routers' words are the same news."""
 
-EndId = int
+CrashId = int
 """Stands for one start of a server that ended."""
 
 
-class Standing(enum.IntEnum):
+class SuspectState(enum.IntEnum):
     """Say what may be done with a request, by the servers that ended under it."""
 
     CLEAR = 0
-    WATCHED = 1  # one copy at a time over the fleet
-    ALONE = 2  # at a server without another such, and not repeated by the router
+    SERIALIZED = 1  # one copy at a time over the fleet
+    ISOLATED = 2  # at a server without another such, and not repeated by the router
     BARRED = 3  # not sent
 
 
@@ -75,17 +75,17 @@
     """Hold what routers tell each other of one request; ages in seconds."""
 
     fingerprint: Fingerprint
-    ends: tuple[tuple[EndId, float], ...]
-    good_age_s: float | None = None  # since a run of it ended well
-    trial: tuple[EndId, float] | None = None  # start of a server that runs it now
+    ends: tuple[tuple[CrashId, float], ...]
+    success_age_s: float | None = None  # since a run of it ended well
+    trial: tuple[CrashId, float] | None = None  # start of a server that runs it now
 
 
 @define
 class _Record:
-    ends: dict[EndId, float] = field(factory=dict)  # when each server ended
+    ends: dict[CrashId, float] = field(factory=dict)  # when each server ended
     good_at: float = -math.inf
     trial_at: float = -math.inf
-    trial_at_server: EndId = 0
+    trial_at_server: CrashId = 0
 
     @property
     def last_at(self) -> float:
@@ -95,7 +95,7 @@
         """Return the servers that ended under it without a good run about then."""
         return sum(1 for at in self.ends.values() if at > self.good_at + GOOD_S)
 
-    def add(self, end: EndId, at: float) -> bool:
+    def add(self, end: CrashId, at: float) -> bool:
         """Take an end in; tell whether it is news."""
         if end in self.ends:
             return False
@@ -109,7 +109,7 @@
         return True
 
 
-def end_id(server: ServerName, started_ms: int) -> EndId:
+def crash_id(server: ServerName, started_ms: int) -> CrashId:
     """Return what stands for the end of one start of a server."""
     return xxhash.xxh3_64_intdigest(f"{server}\0{started_ms}".encode())
 
@@ -131,21 +131,25 @@
         self._running: dict[Fingerprint, int] = {}
         self._untold: dict[Fingerprint, int] = {}
         self._retold_at = -math.inf
-        self.on_news: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _ignore
         """Called when peers should hear of something at once."""
         self.on_barred: Callable[[Fingerprint, int], None] = _ignore_barred
         """Called when a request is barred here, with the ends known."""
 
-    def standing(self, fingerprint: Fingerprint, now: float) -> Standing:
+    def suspect_state(self, fingerprint: Fingerprint, now: float) -> SuspectState:
         """Return what may be done with a request."""
         record = self._records.get(fingerprint)
         if record is None:
-            return Standing.CLEAR
+            return SuspectState.CLEAR
         ends = record.count()
-        if ends < Standing.BARRED:
-            return Standing(ends)
-        bar_s = BAR_S * 2 ** (ends - Standing.BARRED)
-        return Standing.BARRED if now - record.last_at < bar_s else Standing.ALONE
+        if ends < SuspectState.BARRED:
+            return SuspectState(ends)
+        bar_s = BAR_S * 2 ** (ends - SuspectState.BARRED)
+        return (
+            SuspectState.BARRED
+            if now - record.last_at < bar_s
+            else SuspectState.ISOLATED
+        )
 
     def ends(self, fingerprint: Fingerprint) -> int:
         """Return how many servers ended under a request, as far as known."""
@@ -157,7 +161,7 @@
         return {
             name: record.count()
             for name, record in self._records.items()
-            if self.standing(name, now) is Standing.BARRED
+            if self.suspect_state(name, now) is SuspectState.BARRED
         }
 
     def tried(self, fingerprint: Fingerprint, now: float) -> bool:
@@ -167,15 +171,16 @@
         record = self._records.get(fingerprint)
         return record is not None and now - record.trial_at < TRIAL_S
 
-    def trial_servers(self, now: float) -> set[EndId]:
+    def trial_servers(self, now: float) -> set[CrashId]:
         """Return the servers that run what others with two ends are kept away from."""
         return {
             record.trial_at_server
             for record in self._records.values()
-            if now - record.trial_at < TRIAL_S and record.count() >= Standing.ALONE
+            if now - record.trial_at < TRIAL_S
+            and record.count() >= SuspectState.ISOLATED
         }
 
-    def begin(self, fingerprint: Fingerprint, server: EndId, now: float) -> None:
+    def begin(self, fingerprint: Fingerprint, server: CrashId, now: float) -> None:
         """Note that a request is about to be sent; peers hear of a suspect."""
         self._running[fingerprint] = self._running.get(fingerprint, 0) + 1
         record = self._records.get(fingerprint)
@@ -191,7 +196,7 @@
         elif record := self._records.get(fingerprint):
             record.trial_at = -math.inf
 
-    def note_good(self, fingerprint: Fingerprint, now: float) -> None:
+    def note_success(self, fingerprint: Fingerprint, now: float) -> None:
         """Note a run that ended well: it lets the request off."""
         self._good[fingerprint] = now
         self._good.move_to_end(fingerprint)
@@ -206,10 +211,10 @@
         if stale:
             self._tell(fingerprint)
 
-    def note_end(
+    def note_crash(
         self,
         fingerprint: Fingerprint,
-        end: EndId,
+        end: CrashId,
         now: float,
         *,
         answered_s: float = 0.0,
@@ -225,13 +230,13 @@
 
     # what peers hear, and say
 
-    def news(self, most: int, now: float) -> tuple[SuspectRow, ...]:
+    def pop_updates(self, most: int, now: float) -> tuple[SuspectRow, ...]:
         """Return what the next packet tells, at most so many rows."""
         if now - self._retold_at >= RETELL_S:
             self._retold_at = now
             self._forget(now)
             for name, record in self._records.items():
-                if record.count() >= Standing.ALONE:
+                if record.count() >= SuspectState.ISOLATED:
                     self._untold.setdefault(name, 1)
         if not self._untold:
             return ()
@@ -242,7 +247,7 @@
                 del self._untold[name]
         return tuple(self._row(name, now) for name in chosen)
 
-    def take(
+    def merge_rows(
         self, rows: Iterable[SuspectRow], now: float, *, relay: bool = False
     ) -> None:
         """Take in what a peer tells, to be told on by whom others hear it from."""
@@ -250,8 +255,8 @@
             record = self._record(row.fingerprint, now)
             before = record.count()
             is_news = False
-            if row.good_age_s is not None:
-                good_at = now - row.good_age_s
+            if row.success_age_s is not None:
+                good_at = now - row.success_age_s
                 is_news = good_at > record.good_at + LEAST_NEWER_S
                 record.good_at = max(record.good_at, good_at)
             for end, age_s in row.ends:
@@ -269,7 +274,7 @@
     def _record(self, fingerprint: Fingerprint, now: float) -> _Record:
         record = self._records.get(fingerprint)
         if record is None:
-            if len(self._records) >= MOST_RECORDS:
+            if len(self._records) >= MAX_RECORDS:
                 self._drop_uncertain()
             good_at = self._good.get(fingerprint, -math.inf)
             record = self._records[fingerprint] = _Record(good_at=good_at)
@@ -279,12 +284,12 @@
         self, fingerprint: Fingerprint, record: _Record, before: int
     ) -> None:
         after = record.count()
-        if before < Standing.BARRED <= after:
+        if before < SuspectState.BARRED <= after:
             self.on_barred(fingerprint, after)
 
     def _tell(self, fingerprint: Fingerprint) -> None:
         self._untold[fingerprint] = TELLINGS
-        self.on_news()
+        self.on_change()
 
     def _urgency(self, fingerprint: Fingerprint) -> tuple[int, int]:
         """Order what is untold: told least often first, then the most certain."""
@@ -312,7 +317,7 @@
     def _drop_uncertain(self) -> None:
         """Make room for many at once: an end of a server brings a hundred."""
         least = sorted(self._records, key=self._certainty)
-        for name in least[: MOST_RECORDS // 4]:
+        for name in least[: MAX_RECORDS // 4]:
             self._drop(name)
 
     def _drop(self, fingerprint: Fingerprint) -> None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_ends.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_outcomes.py
@@ -27,8 +27,8 @@
 )
 """Outcomes by which a workspace got less than it asked for."""
 
-TOLD_EACH_S = 1.0
-MOST_TOLD = 4
+REPORT_INTERVAL_S = 1.0
+MAX_REPORTED = 4
 """Workspaces told at a time, those that were turned away most often."""
 
 
@@ -41,7 +41,7 @@
 
 
 @define
-class WorkspaceEnds:
+class WorkspaceOutcomes:
     """Count calls until they are told."""
 
     _since: float = 0.0
@@ -51,14 +51,16 @@
         """Count a call that ended."""
         self._ends.setdefault(workspace, Counter())[outcome] += 1
 
-    def take(self, now: float) -> list[TurnedAway]:
+    def pop_refusals(self, now: float) -> list[TurnedAway]:
         """Return whom to tell of now, if anybody, and begin to count anew."""
-        if now - self._since < TOLD_EACH_S:
+        if now - self._since < REPORT_INTERVAL_S:
             return []
         ends, self._ends, self._since = self._ends, {}, now
         refused = {name: _refused(counts) for name, counts in ends.items()}
         names = sorted(filter(refused.__getitem__, refused), key=refused.__getitem__)
-        return [TurnedAway(name, dict(ends[name])) for name in names[::-1][:MOST_TOLD]]
+        return [
+            TurnedAway(name, dict(ends[name])) for name in names[::-1][:MAX_REPORTED]
+        ]
 
 
 def _refused(counts: Mapping[str, int]) -> int:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
@@ -50,19 +50,19 @@
         self._descriptor = descriptor
         self._rate = rate
         self._calls: deque[logging.LogRecord] = deque()
-        self._beliefs: deque[logging.LogRecord] = deque()
+        self._state_records: deque[logging.LogRecord] = deque()
         self._rest = b""
         self.dropped = 0
 
     @property
     def waiting(self) -> int:
         """Return how many lines wait to be written."""
-        return len(self._calls) + len(self._beliefs)
+        return len(self._calls) + len(self._state_records)
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a record, or count it as dropped."""
         of_call = getattr(record, "event", 0) in CALL_EVENTS
-        records = self._calls if of_call else self._beliefs
+        records = self._calls if of_call else self._state_records
         if len(records) >= QUEUE_LINES:
             self.dropped += 1
             return
@@ -77,10 +77,10 @@
 
     def write(self, lines: int) -> None:
         """Write up to a number of lines, as far as the pipe takes them."""
-        if self.dropped and len(self._beliefs) < QUEUE_LINES:
-            self._beliefs.append(self._dropped_record())
+        if self.dropped and len(self._state_records) < QUEUE_LINES:
+            self._state_records.append(self._dropped_record())
             self.dropped = 0
-        while (records := self._beliefs or self._calls) and not self._rest:
+        while (records := self._state_records or self._calls) and not self._rest:
             if lines <= 0:
                 break
             lines -= 1
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/contracts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/contracts.py
@@ -96,7 +96,7 @@
 
 
 @frozen
-class InstanceGoneFact:
+class InstanceRemovedFact:
     """Say that a backend server's entry is gone."""
 
     server: ServerName
@@ -107,7 +107,7 @@
     """Say whether a data centre may get work."""
 
     data_centre: DataCentreName
-    leaves: bool
+    excluded: bool
 
 
 @frozen
@@ -119,7 +119,7 @@
     server: ServerName = ""
 
 
-Fact = CatalogFact | InstanceFact | InstanceGoneFact | CentreFact | UnusableFact
+Fact = CatalogFact | InstanceFact | InstanceRemovedFact | CentreFact | UnusableFact
 
 
 @frozen
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/exceptions.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/exceptions.py
@@ -18,7 +18,7 @@
     outcome = SendOutcome.NOT_SENT
 
 
-class ConnectionsUsedError(NotSentError):
+class ConnectionLimitError(NotSentError):
     """Report that this router may open no more connections to the server."""
 
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
@@ -20,18 +20,18 @@
 from fulmarroad_router.gate import CallGate, GateState
 from fulmarroad_router.http_server import HttpServer
 from fulmarroad_serving._baselines import placement_named
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._callers import ServingApp
 from fulmarroad_serving._catalog import Catalog
 from fulmarroad_serving._dispatch import Dispatcher
 from fulmarroad_serving._fingerprints import Fingerprint
 from fulmarroad_serving._forwarding import Forwarder
 from fulmarroad_serving._lateness import LoopLateness
-from fulmarroad_serving._measures import Measures
+from fulmarroad_serving._metrics import Metrics
 from fulmarroad_serving._peers import Peers
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._positions import era_of, revision_of
 from fulmarroad_serving._reader import StoreReader
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._saturation import SaturationGuard
 from fulmarroad_serving._status import PageApp, json_page, readiness_page, text_page
 from fulmarroad_serving.bounded_log import BoundedLog
@@ -85,7 +85,7 @@
         self._clock = clock
         self._incarnation = time.time_ns() // 1_000_000
         self._gate = CallGate()
-        self._measures = Measures()
+        self._metrics = Metrics()
         self._lateness = LoopLateness()
         self._drain_asked = anyio.Event()
         self._audit = AuditTrail(_log_audit)
@@ -97,9 +97,11 @@
             placement_named(settings.placement),
         )
         self._pool = ConnectionPool(clock)
-        self._beliefs = Beliefs(store, self._dispatcher, self._pool, self._audit, clock)
+        self._router_state = RouterState(
+            store, self._dispatcher, self._pool, self._audit, clock
+        )
         self._reader = StoreReader(
-            store, self._beliefs, self._reads_store, clock, self._incarnation
+            store, self._router_state, self._reads_store, clock, self._incarnation
         )
         self._peers = Peers(
             settings.router,
@@ -108,27 +110,31 @@
             settings.peer_port,
             self._incarnation,
             self._dispatcher,
-            self._beliefs,
-            lambda: (self._reader.age_s(), self._reader.calm_s()),
+            self._router_state,
+            lambda: (self._reader.age_s(), self._reader.failure_age_s()),
             clock,
         )
         self._peers.seeds = settings.seeds
-        self._beliefs.on_news = self._peers.tell_news
-        self._dispatcher.on_large = self._peers.tell_load
-        self._dispatcher.suspects.on_news = self._peers.tell_news
+        self._router_state.on_change = self._peers.trigger_report
+        self._dispatcher.on_large_prompt = self._peers.trigger_load_report
+        self._dispatcher.suspects.on_change = self._peers.trigger_report
         self._dispatcher.suspects.on_barred = _log_barred
-        self._beliefs.on_catalog = self._take_catalog
+        self._router_state.on_catalog = self._take_catalog
         forwarder = Forwarder(
-            self._dispatcher, self._pool, codec, lambda: self._beliefs.catalog, clock
+            self._dispatcher,
+            self._pool,
+            codec,
+            lambda: self._router_state.catalog,
+            clock,
         )
         source = random.Random(self._incarnation)
         self._saturation = SaturationGuard(self._lateness, source)
         self._app = ServingApp(
             codec,
-            self._beliefs,
+            self._router_state,
             forwarder,
             self._gate,
-            self._measures,
+            self._metrics,
             self._saturation,
             clock,
         )
@@ -174,7 +180,7 @@
         await Supervisor("serving", children, seed=self._incarnation).run()
 
     def _page(self, app: PageApp, port: int) -> HttpServer:
-        return HttpServer(app, self._settings.host, port, accepts=1)
+        return HttpServer(app, self._settings.host, port, accepts_per_turn=1)
 
     def _reads_store(self) -> bool:
         return self._peers.reads_store()
@@ -184,7 +190,7 @@
         self._callers.set_timeouts(limits.idle_timeout_s, limits.header_timeout_s)
 
     async def _open_gate(self) -> None:
-        while self._beliefs.index is None:
+        while self._router_state.index is None:
             await anyio.sleep(0.02)
         with anyio.move_on_after(SETTLE_S):
             while not self._dispatcher.registry.rows():
@@ -195,7 +201,7 @@
         emit(
             logger,
             Event.READY,
-            version=self._beliefs.catalog.version,
+            version=self._router_state.catalog.version,
             servers=len(self._dispatcher.registry.rows()),
         )
 
@@ -213,7 +219,7 @@
 
     def _tell_lateness(self, since: float | None, now: float) -> float | None:
         """Log where the loop begins or ends to run late; return since when it does."""
-        late_s = self._lateness.standing_s
+        late_s = self._lateness.sustained_s
         if since is None and late_s >= LATE_S:
             in_flight = self._gate.in_flight
             emit(logger, Event.LOOP_LATE, late_s=round(late_s, 3), in_flight=in_flight)
@@ -231,16 +237,18 @@
 
     def _tell_turned_away(self, now: float) -> None:
         shares = self._dispatcher.shares
-        for row in self._app.ends.take(now):
-            standing = shares.standing(row.workspace, now)
+        for row in self._app.ends.pop_refusals(now):
+            share_status = shares.share_status(row.workspace, now)
             emit(
                 logger,
                 Event.WORKSPACE_TURNED_AWAY,
                 workspace=row.workspace,
                 ends=row.ends,
-                asked=round(standing.asked),
-                got=round(standing.got),
-                level=round(standing.level) if isfinite(standing.level) else None,
+                asked=round(share_status.asked),
+                got=round(share_status.got),
+                level=round(share_status.level)
+                if isfinite(share_status.level)
+                else None,
                 window_s=shares.window_s,
             )
 
@@ -283,7 +291,7 @@
         )
         self._gate.drain()
         self._peers.leaving = True
-        self._peers.tell_news()
+        self._peers.trigger_report()
         most = self._settings.grace_s - GRACE_MARGIN_S
         with anyio.move_on_after(most):
             await anyio.sleep(min(NOTICE_S, most / 2))
@@ -305,11 +313,11 @@
             "router": self._settings.router,
             "state": self._gate.state.value,
             "in_flight": self._gate.in_flight,
-            "version": self._beliefs.catalog.version,
-            "store_revision": revision_of(self._beliefs.replica.at),
-            "store_era": era_of(self._beliefs.replica.at),
+            "version": self._router_state.catalog.version,
+            "store_revision": revision_of(self._router_state.replica.at),
+            "store_era": era_of(self._router_state.replica.at),
             "store_age_s": round(min(self._reader.age_s(), 1e6), 2),
-            "loop_late_s": round(self._lateness.standing_s, 3),
+            "loop_late_s": round(self._lateness.sustained_s, 3),
             "reads_store": self._reads_store(),
             "requests_barred": {
                 name.hex(): ends
@@ -340,18 +348,18 @@
             "running": load.total_running(now),
             "waiting_tokens": round(load.total_waiting(now)),
             "read_rate": round(load.read_rate),
-            "failure_rate": round(self._dispatcher.trust(server).rate, 3),
+            "failure_rate": round(self._dispatcher.health(server).rate, 3),
         }
 
     def _metrics_text(self) -> bytes:
         now = self._clock()
-        self._measures.in_flight.set(self._gate.in_flight)
-        self._measures.peers.set(len(self._peers.book.alive(now)))
-        self._measures.version.set(self._beliefs.catalog.version)
-        self._measures.store_age.set(min(self._reader.age_s(), 1e6))
-        self._measures.loop_late.set(self._lateness.standing_s)
-        self._measures.dropped.set(self._log.dropped)
-        return self._measures.text()
+        self._metrics.in_flight.set(self._gate.in_flight)
+        self._metrics.peers.set(len(self._peers.book.alive(now)))
+        self._metrics.version.set(self._router_state.catalog.version)
+        self._metrics.store_age.set(min(self._reader.age_s(), 1e6))
+        self._metrics.loop_late.set(self._lateness.sustained_s)
+        self._metrics.dropped.set(self._log.dropped)
+        return self._metrics.text()
 
 
 def _log_barred(fingerprint: Fingerprint, ends: int) -> None:
--- a/packages/fulmarroad-serving/tests/fleet_bed.py
+++ b/packages/fulmarroad-serving/tests/fleet_bed.py
@@ -84,7 +84,7 @@
     def _packets(self, router):
         router.sequence += 1
         view, now = router.view, self.now
-        whole = view.complete(self.report(router.host), now)
+        whole = view.complete_report(self.report(router.host), now)
         hosts = view.receivers(self.seeds, router.sequence, now)
         rows = [(pack_report(whole), hosts)]
         for digest, followers in view.digests(now):
@@ -100,9 +100,9 @@
             return
         row = msgpack.unpackb(data)
         if is_digest(row):
-            to.view.take_digest(read_digest(row), self.now)
+            to.view.receive_digest(read_digest(row), self.now)
         else:
-            to.view.take_report(read_report(row), self.now)
+            to.view.receive_report(read_report(row), self.now)
 
     def run(self, seconds):
         for _ in range(round(seconds / TICK_S)):
--- a/packages/fulmarroad-serving/tests/platform_store.py
+++ b/packages/fulmarroad-serving/tests/platform_store.py
@@ -17,13 +17,13 @@
 
 
 @define
-class StandInStore:
+class FakePlatformStore:
     """Answer ranges and watches as the platform's pages say."""
 
     era: int = 1
     states_era: bool = True  # stores of before don't
     revision: int = 1
-    away: bool = False
+    offline: bool = False
     refuses_watches: bool = False
     listings: int = 0
     watches: int = 0
@@ -44,11 +44,11 @@
     def remove(self, key):
         self.put(key, None)
 
-    def keep_copy(self):
+    def save_copy(self):
         """Return the state as of now, to come back from."""
         return copy.deepcopy((self.revision, self._items))
 
-    def come_back(self, kept):
+    def restore_copy(self, kept):
         """Lose all that was written since a copy; revisions are given out again."""
         self.revision, self._items = copy.deepcopy(kept)
         self._oldest = self.revision
@@ -76,12 +76,12 @@
         with contextlib.suppress(*ends):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                if self.away:
+                if self.offline:
                     break
                 url = urlsplit(head.split(" ")[1])
                 query = {key: row[0] for key, row in parse_qs(url.query).items()}
                 status, body = await self._answer(url.path, query)
-                if self.away:
+                if self.offline:
                     break
                 writer.write(self._bytes(status, body))
                 await writer.drain()
--- a/packages/fulmarroad-serving/tests/serving_bed.py
+++ b/packages/fulmarroad-serving/tests/serving_bed.py
@@ -25,12 +25,12 @@
     Target,
     digest_key,
 )
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._callers import ServingApp
 from fulmarroad_serving._forwarding import Forwarder
 from fulmarroad_serving._lateness import LoopLateness
-from fulmarroad_serving._measures import Measures
+from fulmarroad_serving._metrics import Metrics
 from fulmarroad_serving._pool import ConnectionPool
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._saturation import SaturationGuard
 from fulmarroad_serving.contracts import (
     AnswerHead,
@@ -194,7 +194,9 @@
         bounds = bounds or FleetBounds(retry_burst=600.0)
         self.dispatcher = Dispatcher("router-a", "fes", bounds, 1)
         self.pool = ConnectionPool(clock)
-        self.beliefs = Beliefs(None, self.dispatcher, self.pool, AuditTrail(), clock)
+        self.beliefs = RouterState(
+            None, self.dispatcher, self.pool, AuditTrail(), clock
+        )
         self.gate = CallGate()
         self.gate.open()
         codec = PlainCodec()
@@ -208,13 +210,13 @@
             self.beliefs,
             forwarder,
             self.gate,
-            Measures(),
+            Metrics(),
             self.saturation,
             clock,
         )
-        self.tell(CatalogFact(make_catalog()))
+        self.apply_fact(CatalogFact(make_catalog()))
 
-    def tell(self, fact):
+    def apply_fact(self, fact):
         self.beliefs._take(fact, 1, 60.0, "test")
 
     async def serve(self, name, script, service="ledger", slots=8):
@@ -238,7 +240,7 @@
         server = await asyncio.start_server(connected, "127.0.0.1", 0)
         self._servers.append(server)
         port = server.sockets[0].getsockname()[1]
-        self.tell(
+        self.apply_fact(
             InstanceFact(Instance(name, service, "127.0.0.1", port, "fes", slots))
         )
         return port
@@ -294,7 +296,7 @@
             server.close()
 
 
-class EndingServers:
+class CrashingServers:
     """Servers that end under a request, as a process does that crashes."""
 
     def __init__(self, bed, poison=b"poison", service="drafting"):
--- a/packages/fulmarroad-serving/tests/test_callers.py
+++ b/packages/fulmarroad-serving/tests/test_callers.py
@@ -33,8 +33,8 @@
     def test_a_withdrawn_key_ends_with_its_version(self):
         async def test(bed):
             await bed.serve("s-1", echo)
-            bed.tell(CatalogFact(make_catalog(2, holders=())))
-            bed.tell(CatalogFact(make_catalog(1)))
+            bed.apply_fact(CatalogFact(make_catalog(2, holders=())))
+            bed.apply_fact(CatalogFact(make_catalog(1)))
             assert bed.beliefs.catalog.version == 2
 
         run(test)
--- a/packages/fulmarroad-serving/tests/test_decisions_page.py
+++ b/packages/fulmarroad-serving/tests/test_decisions_page.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fulmarroad_serving._holding import HELD_PART, LOOK_S, PLACING_S
+from fulmarroad_serving._holding import HELD_FRACTION, PLACING_S, POLL_INTERVAL_S
 from fulmarroad_serving._routing import (
     Candidate,
     PartMemory,
@@ -13,7 +13,7 @@
     home_order,
     part_id,
 )
-from fulmarroad_serving._shares import OVER_USE, wait_part
+from fulmarroad_serving._shares import OVER_USE, wait_fraction
 
 PAGE = Path(__file__).parents[3] / "docs" / "DECISIONS.md"
 PART = part_id("letter")
@@ -49,8 +49,8 @@
     def test_above_its_share_the_call_stays_and_is_held(self):
         choice = example(may_read_again=False)
         assert choice.server == NAMES[0]
-        allowed_s = wait_part(OVER_USE) * (0.6 - choice.read_s)
+        allowed_s = wait_fraction(OVER_USE) * (0.6 - choice.read_s)
         assert allowed_s == pytest.approx(0.028, abs=0.0005)
-        assert pytest.approx(0.021) == LOOK_S * (1 + OVER_USE)
-        refused_at = HELD_PART * 0.6 - choice.read_s - PLACING_S
+        assert pytest.approx(0.021) == POLL_INTERVAL_S * (1 + OVER_USE)
+        refused_at = HELD_FRACTION * 0.6 - choice.read_s - PLACING_S
         assert refused_at == pytest.approx(0.145, abs=0.001)
--- a/packages/fulmarroad-serving/tests/test_digests.py
+++ b/packages/fulmarroad-serving/tests/test_digests.py
@@ -12,7 +12,7 @@
 from fulmarroad_serving._digests import (
     Digest,
     OwnReports,
-    Sum,
+    ReportSum,
     is_digest,
     member_id,
     merge,
@@ -20,7 +20,7 @@
     read_digest,
     sum_reports,
 )
-from fulmarroad_serving._fleet_view import KNOWN_EVERY, MOST_DIRECT
+from fulmarroad_serving._fleet_view import KNOWN_EVERY, MAX_DIRECT_PEERS
 from fulmarroad_serving._load import PeerLoad
 from fulmarroad_serving._reports import (
     Member,
@@ -75,14 +75,14 @@
         own.note(report(f"r{place}", sequence=99, running=1000))
         own.note(reports[place])
         total = sum_reports([(row, 0.0) for row in reports])
-        others = own.others(total, f"r{place}")
+        others = own.subtract_own(total, f"r{place}")
         rest = sum(loads) - loads[place]
         assert others.loads["s"] == PeerLoad(rest, rest)
         assert others.counts["coop"].asked == rest
 
     def test_a_report_that_is_not_remembered_stays_in(self):
         total = sum_reports([(report("a"), 0.0)])
-        assert OwnReports().others(total, "a") == total
+        assert OwnReports().subtract_own(total, "a") == total
 
 
 class TestPackets:
@@ -90,7 +90,7 @@
     DIGEST = Digest(
         "a",
         "fes",
-        Sum(
+        ReportSum(
             {member_id("a"): 9},
             0.125,
             {"s": PeerLoad(2, 900)},
@@ -260,10 +260,10 @@
         """Routers disagree for a while on whether the fleet is large: some tell all,
         others their collectors. Counted by both ways, loads would look doubled.
         """
-        bed = FleetBed(MOST_DIRECT - 1)
+        bed = FleetBed(MAX_DIRECT_PEERS - 1)
         bed.run(3.0)
         assert set(bed.errors()) == {0}
-        for number in range(MOST_DIRECT - 1, MOST_DIRECT + 8):
+        for number in range(MAX_DIRECT_PEERS - 1, MAX_DIRECT_PEERS + 8):
             bed.start(number)
             for _ in range(3):
                 bed.tick()
@@ -297,7 +297,7 @@
         bed.run(1.0)
         for router in bed.routers.values():
             assert router.dispatcher.parts.has(77, "s", bed.now)
-            assert router.dispatcher.parts.news(10) == ()
+            assert router.dispatcher.parts.pop_updates(10) == ()
 
 
 class TestSmallFleet:
@@ -315,5 +315,5 @@
         bed.run(1.0)
         view = bed.routers["h0"].view
         newer = report("r1", sequence=9000, running=7)
-        assert view.take_report(newer, bed.now)
-        assert not view.take_report(evolve(newer, sequence=8999), bed.now)
+        assert view.receive_report(newer, bed.now)
+        assert not view.receive_report(evolve(newer, sequence=8999), bed.now)
--- a/packages/fulmarroad-serving/tests/test_dispatch.py
+++ b/packages/fulmarroad-serving/tests/test_dispatch.py
@@ -120,7 +120,7 @@
         leaves the engine looking idle to the others.
         """
         dispatcher, told = make(), []
-        dispatcher.on_large = lambda: told.append(1)
+        dispatcher.on_large_prompt = lambda: told.append(1)
         for n in range(20):
             send(dispatcher, evolve(CALL, own_tokens=600, part=f"p-{n}"))
         assert not told
@@ -171,7 +171,7 @@
     def test_a_cold_server_gets_its_share_and_the_rest_goes_elsewhere(self):
         dispatcher = make(warmup_rate=12.0)
         for n in (0, 1):
-            dispatcher.registry.chill(f"drafting-{n}", 3.0, 100.0)
+            dispatcher.registry.mark_cold(f"drafting-{n}", 3.0, 100.0)
         sent = {}
         for n in range(30):
             ticket = send(dispatcher, evolve(CALL, call_id=f"c-{n}", part=f"p-{n}"))
--- a/packages/fulmarroad-serving/tests/test_ended_servers.py
+++ b/packages/fulmarroad-serving/tests/test_ended_servers.py
@@ -4,10 +4,10 @@
 
 import anyio
 from attrs import evolve
-from serving_bed import EndingServers, run
+from serving_bed import CrashingServers, run
 
 from fulmarroad.events import Event
-from fulmarroad_serving._ended_servers import ONE_END_S, EndedServers
+from fulmarroad_serving._crash_detector import ONE_END_S, CrashDetector
 from fulmarroad_serving._fingerprints import fingerprint_of
 
 
@@ -31,7 +31,7 @@
 
         async def test(bed):
             caplog.set_level(logging.INFO, "fulmarroad.serving")
-            servers = EndingServers(bed)
+            servers = CrashingServers(bed)
             await servers.start("s-1", "s-2", "s-3", "s-4")
             for n in range(2):
                 body = {"method": "POST", "body": b"poison"}
@@ -126,10 +126,10 @@
             bed.pool.refuses = refuses
             await bed.serve("s-1", hang_up)
             instance = bed.dispatcher.registry.get("s-1").instance
-            ended = EndedServers(bed.pool, bed.dispatcher.registry, bed.now)
-            assert await ended.has_ended(instance, bed.now())
+            ended = CrashDetector(bed.pool, bed.dispatcher.registry, bed.now)
+            assert await ended.has_crashed(instance, bed.now())
             bed.skipped_s += ONE_END_S + 0.1
-            assert not await ended.has_ended(instance, bed.now())
+            assert not await ended.has_crashed(instance, bed.now())
 
         run(test)
 
--- a/packages/fulmarroad-serving/tests/test_forwarding.py
+++ b/packages/fulmarroad-serving/tests/test_forwarding.py
@@ -9,7 +9,7 @@
 from serving_bed import PLAIN, answer, chunk, event, make_catalog, run, stream_head
 
 from fulmarroad_serving import EngineProfile, Service
-from fulmarroad_serving._exchange import LEAST_SILENCE_S
+from fulmarroad_serving._exchange import MIN_SILENCE_S
 from fulmarroad_serving._routing import part_id
 from fulmarroad_serving._stream import WholeEvents
 from fulmarroad_serving.contracts import CatalogFact
@@ -49,7 +49,7 @@
             linked = EngineProfile(16, token_bytes=131_072, link_mbps=550_000.0)
             drafting = Service("drafting", max_connections=600, engine=linked)
             services = make_catalog().services | {"drafting": drafting}
-            bed.tell(CatalogFact(make_catalog(2, services=services)))
+            bed.apply_fact(CatalogFact(make_catalog(2, services=services)))
 
             async def script(arrival, writer):
                 writer.write(stream_head(arrival.header("x-id")))
@@ -268,7 +268,7 @@
         async def test(bed):
             services = dict(make_catalog().services)
             services["ledger"] = evolve(services["ledger"], max_connections=6)
-            bed.tell(CatalogFact(make_catalog(2, services=services)))
+            bed.apply_fact(CatalogFact(make_catalog(2, services=services)))
 
             async def slow(arrival, writer):
                 await anyio.sleep(0.1)
@@ -280,7 +280,7 @@
                     group.start_soon(bed.call, "/look/1", f"c-{n}")
                 while not bed.arrivals:
                     await anyio.sleep(0.005)
-                assert not bed.dispatcher.trust("s-1").paused(time.monotonic())
+                assert not bed.dispatcher.health("s-1").in_backoff(time.monotonic())
             assert len({arrival.connection for arrival in bed.arrivals}) == 1
 
         run(test)
@@ -368,7 +368,7 @@
 
         async def test(bed):
             await bed.serve("s-1", say_nothing)
-            bed.tell(
+            bed.apply_fact(
                 CatalogFact(make_catalog(2, routes=(evolve(PLAIN, timeout_s=3.0),)))
             )
             caller_done = []
@@ -392,12 +392,12 @@
 
         async def test(bed):
             async def slow(arrival, writer):
-                await anyio.sleep(LEAST_SILENCE_S + 0.3)
+                await anyio.sleep(MIN_SILENCE_S + 0.3)
                 writer.write(answer(200, b"late", arrival.header("x-id")))
 
             await bed.serve("s-1", slow)
             await bed.serve("s-2", slow)
-            bed.tell(
+            bed.apply_fact(
                 CatalogFact(make_catalog(2, routes=(evolve(PLAIN, timeout_s=3.0),)))
             )
             while bed.dispatcher.take_retry("ledger", bed.now()):
@@ -534,7 +534,7 @@
     def test_a_call_past_its_routes_time_is_answered(self):
         async def test(bed):
             route = evolve(PLAIN, timeout_s=0.3, max_attempts=1)
-            bed.tell(CatalogFact(make_catalog(2, routes=(route,))))
+            bed.apply_fact(CatalogFact(make_catalog(2, routes=(route,))))
             await bed.serve("s-1", say_nothing)
             started = anyio.current_time()
             caller = await bed.call(headers={"x-deadline-ms": "3000"})
--- a/packages/fulmarroad-serving/tests/test_histories.py
+++ b/packages/fulmarroad-serving/tests/test_histories.py
@@ -18,14 +18,14 @@
     Service,
     digest_key,
 )
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._registry import LAPSE_GRACE_S, SUSPECT_S
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving.contracts import (
     CatalogFact,
     CentreFact,
     InstanceFact,
-    InstanceGoneFact,
+    InstanceRemovedFact,
 )
 
 SETTINGS = settings(
@@ -53,7 +53,7 @@
         if kind == "left":
             return CentreFact(name, value is not None)
         if value is None:
-            return InstanceGoneFact(name)
+            return InstanceRemovedFact(name)
         return InstanceFact(
             Instance(
                 name,
@@ -89,7 +89,9 @@
         for name in "abc":
             dispatcher = Dispatcher(name, "fes", FleetBounds())
             pool = ConnectionPool(lambda: 0.0)
-            beliefs = Beliefs(Decoder(), dispatcher, pool, AuditTrail(), lambda: 0.0)
+            beliefs = RouterState(
+                Decoder(), dispatcher, pool, AuditTrail(), lambda: 0.0
+            )
             self.routers[name] = (beliefs, dispatcher)
 
     def write(self, key, value):
@@ -128,7 +130,7 @@
     @rule(router=ROUTERS)
     def a_router_lists(self, router):
         beliefs, _ = self.routers[router]
-        beliefs.take_listing(tuple(self.live.values()), self.at, 60.0, "store")
+        beliefs.apply_listing(tuple(self.live.values()), self.at, 60.0, "store")
 
     @precondition(lambda self: len(self.log) > 0)
     @rule(router=ROUTERS, data=st.data())
@@ -138,7 +140,7 @@
             upto = data.draw(st.integers(0, len(self.log)))
             news = [row for row in self.log[:upto] if row.revision > beliefs.replica.at]
             at = max((row.revision for row in news), default=beliefs.replica.at)
-            beliefs.take_changes(news, at, 60.0, "store")
+            beliefs.apply_changes(news, at, 60.0, "store")
 
     @rule(router=ROUTERS, other=ROUTERS)
     def a_router_hears_from_another(self, router, other):
@@ -146,7 +148,7 @@
         theirs, _ = self.routers[other]
         if router != other:
             delta = theirs.replica.since(beliefs.replica.at)
-            beliefs.take_delta(delta, 60.0, other)
+            beliefs.apply_delta(delta, 60.0, other)
 
     @precondition(lambda self: len(self.log) > 0)
     @rule(router=ROUTERS, data=st.data())
@@ -154,7 +156,7 @@
         beliefs, _ = self.routers[router]
         item = data.draw(st.sampled_from(self.log))
         if beliefs.replica.known and item.revision <= beliefs.replica.at:
-            beliefs.take_changes([item], 0, 60.0, "peer")
+            beliefs.apply_changes([item], 0, 60.0, "peer")
 
     def state_at(self, at):
         state = {}
@@ -242,16 +244,16 @@
             before = self.registry.get(server).instance.draining
             assert not self.put(server, draining or before, warmup_s)
 
-    @rule(server=SERVERS, calm_s=st.floats(0.0, 4.0))
-    def an_entry_is_removed(self, server, calm_s):
+    @rule(server=SERVERS, failure_age_s=st.floats(0.0, 4.0))
+    def an_entry_is_removed(self, server, failure_age_s):
         row = self.registry.get(server)
         if row is None:
             return
-        if self.registry.remove(server, self.now, store_calm_s=calm_s):
+        if self.registry.remove(server, self.now, store_failure_age_s=failure_age_s):
             assert self.registry.get(server) is None
         else:
             assert not row.instance.draining
-            assert calm_s < LAPSE_GRACE_S
+            assert failure_age_s < LAPSE_GRACE_S
             self.gone_by[server] = self.now + LAPSE_GRACE_S
 
     @rule(server=SERVERS)
@@ -262,7 +264,7 @@
 
     @rule(server=SERVERS, left_s=st.floats(0.0, 5.0))
     def a_server_says_that_it_is_cold(self, server, left_s):
-        self.registry.chill(server, left_s, self.now)
+        self.registry.mark_cold(server, left_s, self.now)
         if self.registry.get(server) is not None:
             until = max(self.cold_until[server], self.now + left_s)
             self.cold_until[server] = until
--- a/packages/fulmarroad-serving/tests/test_holding.py
+++ b/packages/fulmarroad-serving/tests/test_holding.py
@@ -6,7 +6,7 @@
 
 from fulmarroad.types import RefusalReason
 from fulmarroad_serving import Refusal, _holding
-from fulmarroad_serving._holding import HELD_PART, HeldCalls
+from fulmarroad_serving._holding import HELD_FRACTION, HeldCalls
 from fulmarroad_serving._shares import ShareUse
 
 BUSY = Refusal(RefusalReason.WAIT_TOO_LONG, 0.5, 0.3, ShareUse(0.5), 3, 0.05)
@@ -14,23 +14,23 @@
 
 class TestPace:
     def test_a_call_looks_again_while_it_may_begin_on_time(self):
-        assert HeldCalls().next_look_s(BUSY, 0.4, 0.0) > 0
+        assert HeldCalls().next_poll_s(BUSY, 0.4, 0.0) > 0
 
     def test_a_call_that_cannot_begin_on_time_is_refused_at_once(self):
         """A prompt takes longer to read than its objective. Held, its caller would hear
         later that it has to come back, and nothing would have changed.
         """
         long = evolve(BUSY, read_s=0.4)
-        assert HeldCalls().next_look_s(long, 0.4, 0.0) is None
+        assert HeldCalls().next_poll_s(long, 0.4, 0.0) is None
 
     def test_nothing_is_held_for_half_of_its_objective(self):
         held = HeldCalls()
-        assert held.next_look_s(BUSY, 0.4, HELD_PART * 0.4) is None
-        assert held.next_look_s(evolve(BUSY, read_s=0.0), 0.4, 0.19) is None
+        assert held.next_poll_s(BUSY, 0.4, HELD_FRACTION * 0.4) is None
+        assert held.next_poll_s(evolve(BUSY, read_s=0.0), 0.4, 0.19) is None
 
     def test_without_servers_there_is_nothing_to_wait_for(self):
         gone = evolve(BUSY, reason=RefusalReason.NO_SERVERS)
-        assert HeldCalls().next_look_s(gone, 0.4, 0.0) is None
+        assert HeldCalls().next_poll_s(gone, 0.4, 0.0) is None
 
     def test_who_uses_less_of_its_share_looks_more_often(self):
         """One workspace floods the fleet and holds many calls. Each of their looks may
@@ -39,30 +39,30 @@
         small = evolve(BUSY, use=ShareUse(0.1))
         flood = evolve(BUSY, use=ShareUse(8.0))
         held = HeldCalls()
-        assert held.next_look_s(small, 0.4, 0.0) < 0.5 * held.next_look_s(flood, 0.4, 0)
+        assert held.next_poll_s(small, 0.4, 0.0) < 0.5 * held.next_poll_s(flood, 0.4, 0)
 
     def test_a_call_does_not_look_before_its_queue_can_have_moved(self):
         """Every engine is a quarter of a second behind and stays so. Looking each 10 ms
         a call is placed twenty times to be refused: at a small VM that is most of what
         its processor does, and calls that could be served are late.
         """
-        far = evolve(BUSY, over_s=0.25)
+        far = evolve(BUSY, excess_wait_s=0.25)
         held, held_s, looks = HeldCalls(), 0.0, 0
-        while (pause_s := held.next_look_s(far, 0.5, held_s)) is not None:
+        while (pause_s := held.next_poll_s(far, 0.5, held_s)) is not None:
             held_s += pause_s
             looks += 1
         assert looks <= 6
 
     def test_a_call_beside_a_short_queue_looks_soon(self):
-        near = evolve(BUSY, over_s=0.005)
-        assert HeldCalls().next_look_s(near, 0.5, 0.0) <= 0.02
+        near = evolve(BUSY, excess_wait_s=0.005)
+        assert HeldCalls().next_poll_s(near, 0.5, 0.0) <= 0.02
 
     def test_many_held_calls_look_less_often(self):
         """A burst of hundreds of calls is held at once. Looking each 10 ms they would
         take the whole processor, and calls that could be served would be late.
         """
         held = HeldCalls(count=400)
-        looks = held.count / held.next_look_s(BUSY, 2.0, 0.0)
+        looks = held.count / held.next_poll_s(BUSY, 2.0, 0.0)
         assert looks <= 500
 
 
@@ -114,8 +114,8 @@
         """A call was held for half of its objective. A place where it would begin
         within a whole objective from now would make it late.
         """
-        monkeypatch.setattr(_holding, "HELD_PART", 0.9)
-        monkeypatch.setattr(_holding, "LOOK_S", 0.1)
+        monkeypatch.setattr(_holding, "HELD_FRACTION", 0.9)
+        monkeypatch.setattr(_holding, "POLL_INTERVAL_S", 0.1)
 
         async def test(bed):
             async def script(arrival, writer):
@@ -141,7 +141,7 @@
         """A caller gives up in 30 ms. Held until a later look, its call would end
         without an answer.
         """
-        monkeypatch.setattr(_holding, "LOOK_S", 60.0)
+        monkeypatch.setattr(_holding, "POLL_INTERVAL_S", 60.0)
 
         async def test(bed):
             async def script(arrival, writer):
--- a/packages/fulmarroad-serving/tests/test_lateness.py
+++ b/packages/fulmarroad-serving/tests/test_lateness.py
@@ -3,7 +3,7 @@
 import anyio
 
 from fulmarroad.testing import run_virtual
-from fulmarroad_serving._lateness import STANDING_SAMPLES, LoopLateness
+from fulmarroad_serving._lateness import SUSTAINED_SAMPLES, LoopLateness
 
 
 class TestLoopLateness:
@@ -15,7 +15,7 @@
                 await lateness.run(anyio.current_time, lambda now: None)
 
         run_virtual(test)
-        assert lateness.standing_s < 1e-6
+        assert lateness.sustained_s < 1e-6
         assert lateness.worst_s < 1e-6
 
     def test_a_single_stop_does_not_count_as_standing(self):
@@ -27,12 +27,12 @@
         for _ in range(20):
             lateness.note(0.06)
             lateness.note(0.0)
-        assert lateness.standing_s == 0.0
+        assert lateness.sustained_s == 0.0
         assert lateness.worst_s == 0.06
 
     def test_a_delay_that_stays_counts_by_its_least_part(self):
         lateness = LoopLateness()
-        for number in range(STANDING_SAMPLES):
-            assert lateness.standing_s == 0.0
+        for number in range(SUSTAINED_SAMPLES):
+            assert lateness.sustained_s == 0.0
             lateness.note(0.1 + 0.01 * number)
-        assert lateness.standing_s == 0.1
+        assert lateness.sustained_s == 0.1
--- a/packages/fulmarroad-serving/tests/test_load.py
+++ b/packages/fulmarroad-serving/tests/test_load.py
@@ -25,7 +25,7 @@
         other's word each would think it idle, and both prompts would come late.
         """
         load = ServerLoad()
-        load.hear("router-b", PeerLoad(3, 20_000), 0.0)
+        load.receive_load("router-b", PeerLoad(3, 20_000), 0.0)
         assert load.total_waiting(0.0) == 20_000
         assert 0 < load.total_waiting(0.1) < 20_000
         assert load.total_running(0.1) == 3
--- a/packages/fulmarroad-serving/tests/test_node.py
+++ b/packages/fulmarroad-serving/tests/test_node.py
@@ -6,7 +6,7 @@
 from serving_bed import OPEN, PlainCodec, free_port, make_catalog
 
 from fulmarroad_serving import CallerLimits, FleetBounds, Instance, ReplicaItem
-from fulmarroad_serving._lateness import STANDING_SAMPLES
+from fulmarroad_serving._lateness import SUSTAINED_SAMPLES
 from fulmarroad_serving.bounded_log import BoundedLog
 from fulmarroad_serving.contracts import (
     CatalogFact,
@@ -120,7 +120,7 @@
         node = ServingNode(settings(), KeylessCodec(), store, log, lambda: (HOST,))
 
         def step(since, late_s, now):
-            for _ in range(STANDING_SAMPLES):
+            for _ in range(SUSTAINED_SAMPLES):
                 node._lateness.note(late_s)
             return node._tell_lateness(since, now)
 
--- a/packages/fulmarroad-serving/tests/test_platform_facts.py
+++ b/packages/fulmarroad-serving/tests/test_platform_facts.py
@@ -12,7 +12,7 @@
     CatalogFact,
     CentreFact,
     InstanceFact,
-    InstanceGoneFact,
+    InstanceRemovedFact,
     UnusableFact,
 )
 
@@ -88,7 +88,7 @@
         assert decode("servers/i-1", entry).instance.draining
 
     def test_a_removed_entry(self):
-        assert decode("servers/i-1", None) == InstanceGoneFact("i-1")
+        assert decode("servers/i-1", None) == InstanceRemovedFact("i-1")
 
     @pytest.mark.parametrize(
         "change",
@@ -159,8 +159,8 @@
 
 class TestDataCentres:
     def test_one_that_is_left_and_taken_back(self):
-        assert decode("op/evacuate/fes-1", b"{}") == CentreFact("fes-1", leaves=True)
-        assert decode("op/evacuate/fes-1", None) == CentreFact("fes-1", leaves=False)
+        assert decode("op/evacuate/fes-1", b"{}") == CentreFact("fes-1", excluded=True)
+        assert decode("op/evacuate/fes-1", None) == CentreFact("fes-1", excluded=False)
 
 
 class TestOtherItems:
--- a/packages/fulmarroad-serving/tests/test_reading.py
+++ b/packages/fulmarroad-serving/tests/test_reading.py
@@ -21,13 +21,12 @@
     ReplicaItem,
     _peers,
 )
-from fulmarroad_serving._beliefs import Beliefs
-from fulmarroad_serving._copies import Copies, _read_asked, _read_delta
 from fulmarroad_serving._load import PeerLoad
-from fulmarroad_serving._peers import FIRST_COPY_S, Peers
+from fulmarroad_serving._peers import FIRST_REPLICA_WAIT_S, Peers
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._reader import StoreReader
 from fulmarroad_serving._replica import ReplicaDelta
+from fulmarroad_serving._replica_sync import ReplicaSync, _read_asked, _read_delta
 from fulmarroad_serving._reports import (
     REMEMBERED_S,
     Member,
@@ -36,11 +35,12 @@
     pack_report,
     unpack_report,
 )
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._shares import WorkspaceCount
 from fulmarroad_serving.contracts import (
     CatalogFact,
     InstanceFact,
-    InstanceGoneFact,
+    InstanceRemovedFact,
     Listing,
 )
 from fulmarroad_serving.exceptions import HistoryLostError, StoreError
@@ -52,7 +52,7 @@
     def __init__(self):
         self.items = {}
         self.at = 1
-        self.away = False
+        self.offline = False
         self.history_lost = False
         self.listings = 0
 
@@ -83,7 +83,7 @@
 
     async def _answer(self):
         await anyio.sleep(0.004)
-        if self.away:
+        if self.offline:
             raise StoreError("away")
 
     def decode(self, item):
@@ -92,14 +92,14 @@
             version = int(item.data)
             return CatalogFact(Catalog(version, limits=CallerLimits()))
         if item.data is None:
-            return InstanceGoneFact(name)
+            return InstanceRemovedFact(name)
         return InstanceFact(Instance(name, "drafting", "127.0.0.1", 9001, "fes", 8))
 
 
 def make_beliefs(store, clock):
     dispatcher = Dispatcher("router-a", "fes", FleetBounds(), 1)
     pool = ConnectionPool(clock)
-    return dispatcher, Beliefs(store, dispatcher, pool, AuditTrail(), clock)
+    return dispatcher, RouterState(store, dispatcher, pool, AuditTrail(), clock)
 
 
 def read(test):
@@ -159,12 +159,12 @@
         """
 
         async def test(store, beliefs, servers):
-            store.away = True
+            store.offline = True
             await anyio.sleep(6)
             assert servers() == ["s-1", "s-2"]
             store.remove("servers/s-1")
             store.remove("servers/s-2")
-            store.away = False
+            store.offline = False
             await anyio.sleep(1)
             assert servers() == ["s-1", "s-2"]
             store.put("servers/s-1")
@@ -193,7 +193,7 @@
         for number, name in enumerate(names, start=2):
             dispatcher = Dispatcher(name, "fes", FleetBounds(), 1)
             clock = anyio.current_time
-            beliefs = Beliefs(
+            beliefs = RouterState(
                 self.store, dispatcher, ConnectionPool(clock), AuditTrail(), clock
             )
             peers = Peers(
@@ -254,19 +254,19 @@
                 ReplicaItem("op/config", 2, b"7"),
                 ReplicaItem("servers/s", 3, b"x"),
             ]
-            told.take_listing(items, 3, 60.0, "store")
+            told.apply_listing(items, 3, 60.0, "store")
             await until(lambda: learns.catalog.version == 7)
             change = [
                 ReplicaItem("op/config", 4, b"9"),
                 ReplicaItem("servers/s", 5, None),
             ]
             fleet.ages["a"] = (0.1, 60.0)
-            told.take_changes(change, 5, 60.0, "store")
+            told.apply_changes(change, 5, 60.0, "store")
             await until(lambda: learns.catalog.version == 9)
             await until(lambda: not dispatcher.registry.rows())
 
         for _, beliefs, peers in fleet.nodes.values():
-            beliefs.on_news = peers.tell_news
+            beliefs.on_change = peers.trigger_report
         fleet.run(test)
 
     def test_a_peer_that_falls_silent_is_told_once(self, caplog):
@@ -276,7 +276,7 @@
         fleet = Fleet(["a", "b"])
         _, _, peers = fleet.nodes["b"]
         stale = evolve(TestReports.KNOWN, router="c", age_s=5.0)
-        peers.book.take(evolve(TestReports.REPORT, known=(stale,)), 10.0)
+        peers.book.receive_report(evolve(TestReports.REPORT, known=(stale,)), 10.0)
         with caplog.at_level("INFO", logger="fulmarroad.serving"):
             heard = peers._tell_changes(set(), 10.1)
             heard = peers._tell_changes(heard, 10.2)
@@ -316,7 +316,7 @@
             await anyio.sleep(2 * 0.15)
             now = anyio.current_time()
             sender.load("s").send("s", 20_000, now)
-            peers.tell_load()
+            peers.trigger_load_report()
             await until(lambda: hears.load("s").total_running(anyio.current_time()))
 
         fleet.run(test)
@@ -349,7 +349,7 @@
             assert seed.reads_store()
             assert not other.reads_store()
             items = [ReplicaItem("op/config", 2, b"7")]
-            fleet.nodes["a"][1].take_listing(items, 2, 60.0, "store")
+            fleet.nodes["a"][1].apply_listing(items, 2, 60.0, "store")
             await until(lambda: learns.replica.known)
 
         fleet.run(test)
@@ -366,7 +366,7 @@
             assert not other.reads_store()
             begun = anyio.current_time()
             await until(other.reads_store)
-            assert anyio.current_time() - begun < 2 * FIRST_COPY_S
+            assert anyio.current_time() - begun < 2 * FIRST_REPLICA_WAIT_S
 
         fleet.run(test)
 
@@ -416,12 +416,14 @@
             clock = anyio.current_time
             _, beliefs = make_beliefs(FakeStore(), clock)
             before = ReplicaItem("op/config", 2, b"7")
-            beliefs.take_listing([before], 2, 60.0, "store")
+            beliefs.apply_listing([before], 2, 60.0, "store")
             book = PeerBook("z", "127.0.0.9")
             report = evolve(TestReports.REPORT, known=())
             for name, host, news_at in (("far", "127.0.0.2", 9), ("near", "n", 8)):
-                book.take(evolve(report, router=name, host=host, news_at=news_at), 0.0)
-            copies = Copies("h", 1, beliefs, book, random.Random(1), clock)
+                book.receive_report(
+                    evolve(report, router=name, host=host, news_at=news_at), 0.0
+                )
+            copies = ReplicaSync("h", 1, beliefs, book, random.Random(1), clock)
 
             async def ask(host):
                 if host != "n":
@@ -430,10 +432,10 @@
 
             copies._ask = ask
             async with anyio.create_task_group() as group:
-                group.start_soon(copies.pull_news)
+                group.start_soon(copies.pull_changes)
                 while beliefs.catalog.version < 8:
                     assert clock() < 1.5
-                    copies.want()
+                    copies.request_pull()
                     await anyio.sleep(0.15)
                 group.cancel_scope.cancel()
 
@@ -461,8 +463,8 @@
 class TestPeerBook:
     def test_a_peer_is_alive_for_two_seconds_after_its_report(self):
         book = PeerBook("z", "127.0.0.9")
-        book.take(TestReports.REPORT, 10.0)
-        assert book.remembered(10.0) == ["a", "b", "z"]
+        book.receive_report(TestReports.REPORT, 10.0)
+        assert book.known_routers(10.0) == ["a", "b", "z"]
         assert [row.router for row in book.alive(11.0)] == ["a", "b"]
         assert book.alive(12.5) == []
 
@@ -471,27 +473,29 @@
         age of its last report goes along, or it would seem alive for ever.
         """
         book, other = PeerBook("z", "127.0.0.9"), PeerBook("y", "127.0.0.8")
-        book.take(TestReports.REPORT, 10.0)
+        book.receive_report(TestReports.REPORT, 10.0)
         for step in range(1, 30):
             now = 10.0 + step / 10
             for member in book.members(now):
-                other.take_member(member, now)
+                other.merge_member(member, now)
             for member in other.members(now):
-                book.take_member(member, now)
+                book.merge_member(member, now)
         assert book.alive(12.9) == other.alive(12.9) == []
 
     def test_hearsay_does_not_replace_a_routers_own_newer_word(self):
         book = PeerBook("z", "127.0.0.9")
-        book.take(TestReports.REPORT, 10.0)
+        book.receive_report(TestReports.REPORT, 10.0)
         old = evolve(TestReports.KNOWN, router="a", sequence=3, host="127.0.0.77")
-        book.take_member(old, 10.1)
+        book.merge_member(old, 10.1)
         assert book.hosts()["a"] == "127.0.0.2"
 
     def test_an_older_report_changes_nothing(self):
         book = PeerBook("z", "127.0.0.9")
-        assert book.take(TestReports.REPORT, 10.0)
-        assert not book.take(evolve(TestReports.REPORT, sequence=8), 11.0)
-        assert book.take(evolve(TestReports.REPORT, incarnation=6, sequence=1), 11.0)
+        assert book.receive_report(TestReports.REPORT, 10.0)
+        assert not book.receive_report(evolve(TestReports.REPORT, sequence=8), 11.0)
+        assert book.receive_report(
+            evolve(TestReports.REPORT, incarnation=6, sequence=1), 11.0
+        )
 
     def test_a_router_whose_time_of_day_was_set_back_is_heard_after_its_restart(self):
         """The time of day of a VM is set back by seconds and its router starts again.
@@ -499,12 +503,12 @@
         and send to engines that it has filled, until they had forgotten the former.
         """
         book = PeerBook("z", "127.0.0.9")
-        book.take(TestReports.REPORT, 10.0)
+        book.receive_report(TestReports.REPORT, 10.0)
         again = evolve(TestReports.REPORT, incarnation=2, sequence=1)
-        assert not book.take(again, 10.4)
-        assert book.take(evolve(again, sequence=5), 11.1)
+        assert not book.receive_report(again, 10.4)
+        assert book.receive_report(evolve(again, sequence=5), 11.1)
         assert book.alive(11.2)[0].incarnation == 2
-        assert book.take(evolve(again, sequence=6), 11.3)
+        assert book.receive_report(evolve(again, sequence=6), 11.3)
 
     def test_a_router_that_stood_still_believes_nothing_it_heard_before(self):
         """A VM is frozen for five seconds. Going by loads and readers of before, it
@@ -525,8 +529,8 @@
 
     def test_a_router_that_is_gone_for_long_no_longer_counts(self):
         book = PeerBook("z", "127.0.0.9")
-        book.take(TestReports.REPORT, 10.0)
-        assert "a" not in book.remembered(10.0 + REMEMBERED_S)
+        book.receive_report(TestReports.REPORT, 10.0)
+        assert "a" not in book.known_routers(10.0 + REMEMBERED_S)
 
 
 class TestReports:
--- a/packages/fulmarroad-serving/tests/test_registry.py
+++ b/packages/fulmarroad-serving/tests/test_registry.py
@@ -28,9 +28,9 @@
     def test_a_data_centre_that_is_left_gets_nothing_until_it_is_back(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
-        registry.leave_centre("fes")
+        registry.exclude_centre("fes")
         assert usable(registry) == []
-        registry.return_centre("fes")
+        registry.include_centre("fes")
         assert usable(registry) == ["s-1"]
 
 
@@ -70,7 +70,7 @@
         """
         registry = Registry()
         registry.put(SERVER, 0.0)
-        assert not registry.remove("s-1", 10.0, store_calm_s=0.5)
+        assert not registry.remove("s-1", 10.0, store_failure_age_s=0.5)
         assert usable(registry) == ["s-1"]
         assert registry.expire(10.0 + LAPSE_GRACE_S - 0.6) == []
         assert registry.expire(10.0 + LAPSE_GRACE_S - 0.5) == ["s-1"]
@@ -78,7 +78,7 @@
     def test_an_entry_that_is_back_keeps_its_server(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
-        registry.remove("s-1", 10.0, store_calm_s=0.0)
+        registry.remove("s-1", 10.0, store_failure_age_s=0.0)
         registry.put(SERVER, 11.0)
         assert registry.expire(20.0) == []
 
@@ -88,7 +88,7 @@
         """
         registry = Registry()
         registry.put(evolve(SERVER, draining=True), 0.0)
-        assert registry.remove("s-1", 10.0, store_calm_s=0.0)
+        assert registry.remove("s-1", 10.0, store_failure_age_s=0.0)
 
 
 class TestWarmth:
--- a/packages/fulmarroad-serving/tests/test_replica.py
+++ b/packages/fulmarroad-serving/tests/test_replica.py
@@ -58,7 +58,7 @@
         copy.replace([item("a", 1)], 1)
         copy.merge([item("b", 2), ReplicaItem("a", 3)], 3)
         delta = copy.since(2)
-        assert not delta.whole
+        assert not delta.is_snapshot
         assert delta.items == (ReplicaItem("a", 3),)
 
     def test_a_peer_that_saw_what_a_listing_no_longer_names_gets_the_whole_copy(self):
@@ -70,8 +70,8 @@
         peer.replace([item("a", 1), item("server", 2)], 2)
         started.replace([item("a", 1)], 4)
         delta = started.since(peer.at)
-        assert delta.whole
-        assert peer.take_delta(delta) == (ReplicaItem("server", 4),)
+        assert delta.is_snapshot
+        assert peer.apply_delta(delta) == (ReplicaItem("server", 4),)
 
     def test_a_peer_that_lacks_forgotten_deletions_gets_the_whole_copy(self):
         """Deletions are remembered in a limited number. A peer that was away for longer
@@ -82,12 +82,12 @@
         copy.replace([], 2)
         late = StateReplica()
         late.replace([item(f"k{n}", 1) for n in range(600)], 1)
-        assert len(late.take_delta(copy.since(late.at))) == 600
+        assert len(late.apply_delta(copy.since(late.at))) == 600
 
     def test_nothing_is_taken_from_a_peer_that_knows_nothing(self):
         copy = StateReplica()
         copy.replace([item("a", 1)], 1)
-        assert copy.take_delta(StateReplica().since(0)) == ()
+        assert copy.apply_delta(StateReplica().since(0)) == ()
         assert copy.at == 1
 
     @settings(derandomize=True, deadline=None)
@@ -103,8 +103,8 @@
             store[key] = change
             direct.merge([change], revision)
             if data.draw(st.booleans()):
-                behind.take_delta(direct.since(behind.at))
-        behind.take_delta(direct.since(behind.at))
+                behind.apply_delta(direct.since(behind.at))
+        behind.apply_delta(direct.since(behind.at))
         live = {key for key, row in store.items() if row.data is not None}
         for copy in (direct, behind):
             rows = copy.since(0).items
--- a/packages/fulmarroad-serving/tests/test_routing.py
+++ b/packages/fulmarroad-serving/tests/test_routing.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from fulmarroad_serving._engine_time import SPREAD_WAIT_S
-from fulmarroad_serving._health import ServerTrust
+from fulmarroad_serving._health import ServerHealth
 from fulmarroad_serving._routing import (
     Candidate,
     PartMemory,
@@ -110,10 +110,10 @@
         memory = PartMemory()
         memory.send(PART, "s-1", 0.0)
         memory.send(PART, "s-1", 0.1)
-        assert memory.news(10) == ((PART, "s-1"),)
-        assert memory.news(10) == ()
+        assert memory.pop_updates(10) == ((PART, "s-1"),)
+        assert memory.pop_updates(10) == ()
         memory.send(PART, "s-1", 8.0)
-        assert memory.news(10) == ((PART, "s-1"),)
+        assert memory.pop_updates(10) == ((PART, "s-1"),)
 
     def test_a_new_server_does_not_have_its_parts_yet(self):
         assert not choose(PART, {}, age_s=0.5).cached
@@ -203,24 +203,29 @@
         """A server fails part of its calls quickly and so looks idle. Balancing by load
         alone would send it more than the others.
         """
-        trust = ServerTrust()
-        for outcome in (trust.fail, trust.succeed, trust.fail, trust.fail):
+        health = ServerHealth()
+        for outcome in (
+            health.record_failure,
+            health.record_success,
+            health.record_failure,
+            health.record_failure,
+        ):
             outcome(1.0)
         rows = [
-            candidate("s-0", penalty_s=trust.penalty_s(1.0)),
+            candidate("s-0", penalty_s=health.penalty_s(1.0)),
             candidate("s-1", 0.05),
         ]
         picked = choose_plain(rows, "fes", random.Random(1))
         assert picked.server == "s-1"
 
     def test_a_server_that_cannot_be_reached_is_passed_over_for_a_growing_pause(self):
-        trust, now, pauses = ServerTrust(), 0.0, []
+        health, now, pauses = ServerHealth(), 0.0, []
         for _ in range(6):
-            trust.unreachable(now)
-            pauses.append(trust.pause_until - now)
-            now = trust.pause_until
+            health.unreachable(now)
+            pauses.append(health.backoff_until - now)
+            now = health.backoff_until
         assert pauses == sorted(pauses)
         assert pauses[0] < 0.5
         assert pauses[-1] == 4.0
-        trust.succeed(now)
-        assert not trust.paused(now)
+        health.record_success(now)
+        assert not health.in_backoff(now)
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -11,13 +11,13 @@
 from fulmarroad.audit import AuditTrail
 from fulmarroad_router.gate import CallGate
 from fulmarroad_serving import CallKind, Dispatcher, FleetBounds, Instance, ReplicaItem
-from fulmarroad_serving._beliefs import Beliefs
 from fulmarroad_serving._callers import ServingApp
-from fulmarroad_serving._lateness import SAMPLE_S, STANDING_SAMPLES, LoopLateness
-from fulmarroad_serving._measures import Measures
+from fulmarroad_serving._lateness import SAMPLE_S, SUSTAINED_SAMPLES, LoopLateness
+from fulmarroad_serving._metrics import Metrics
 from fulmarroad_serving._peers import REPORT_S, Peers
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._reports import pack_report
+from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._saturation import (
     AGAIN_S,
     FAR_TOO_LATE_S,
@@ -53,14 +53,16 @@
     """Hold one router without its sockets."""
 
     dispatcher: Dispatcher
-    beliefs: Beliefs
+    beliefs: RouterState
     peers: Peers
 
     def packet(self):
         """Return the router's next report as it goes out."""
         now = anyio.current_time()
         self.peers._sequence += 1
-        return pack_report(self.peers._view.complete(self.peers._report(now), now))
+        return pack_report(
+            self.peers._view.complete_report(self.peers._report(now), now)
+        )
 
     def leaving(self, server):
         """Tell whether the router knows that a server leaves."""
@@ -72,7 +74,7 @@
     clock = anyio.current_time
     dispatcher = Dispatcher(name, "fes", FleetBounds(), 1)
     pool = ConnectionPool(clock)
-    beliefs = Beliefs(ServerEntries(), dispatcher, pool, AuditTrail(), clock)
+    beliefs = RouterState(ServerEntries(), dispatcher, pool, AuditTrail(), clock)
     ages = (store_age_s, 60.0)
     peers = Peers(name, "fes", host, port, 1, dispatcher, beliefs, lambda: ages, clock)
     return Node(dispatcher, beliefs, peers)
@@ -107,7 +109,7 @@
             small = make_node("b", "127.0.0.3", 1e6)
             for node in (reader, small):
                 items = [ReplicaItem("servers/s", 3, b"serves")]
-                node.beliefs.take_listing(items, 3, 60.0, "store")
+                node.beliefs.apply_listing(items, 3, 60.0, "store")
 
             async def ask(host):
                 await take_turns(PULL_TURNS)
@@ -118,15 +120,15 @@
                     small.peers._take(reader.packet())
                     await anyio.sleep(REPORT_S)
 
-            small.peers._copies._ask = ask
+            small.peers._replica_sync._ask = ask
             async with anyio.create_task_group() as group:
                 for _ in range(int(0.1 / STEP_S)):
                     group.start_soon(keep_busy)
-                group.start_soon(small.peers._copies.pull_news)
+                group.start_soon(small.peers._replica_sync.pull_changes)
                 group.start_soon(hear)
                 await anyio.sleep(1.0)
                 change = [ReplicaItem("servers/s", 5, b"leaves")]
-                reader.beliefs.take_changes(change, 5, 60.0, "store")
+                reader.beliefs.apply_changes(change, 5, 60.0, "store")
                 told_at = anyio.current_time()
                 with anyio.move_on_after(2 * SHORTEST_DRAIN_S):
                     while not small.leaving("s"):
@@ -215,7 +217,7 @@
     guard = SaturationGuard(lateness, random.Random(1))
     group.start_soon(lateness.run, clock, guard.adapt)
     return ServingApp(
-        PlainCodec(), node.beliefs, BusyForwarder(), gate, Measures(), guard, clock
+        PlainCodec(), node.beliefs, BusyForwarder(), gate, Metrics(), guard, clock
     )
 
 
@@ -306,7 +308,7 @@
 
 def guard_at(late_s):
     lateness = LoopLateness()
-    for _ in range(STANDING_SAMPLES):
+    for _ in range(SUSTAINED_SAMPLES):
         lateness.note(late_s)
     return SaturationGuard(lateness, random.Random(1))
 
@@ -315,14 +317,14 @@
     def test_an_idle_router_turns_nobody_away(self):
         guard = guard_at(0.0)
         guard.adapt(0.0)
-        assert not any(guard.turns_away(kind) for kind in CallKind)
+        assert not any(guard.should_shed(kind) for kind in CallKind)
 
     def test_more_streams_are_turned_away_for_as_long_as_the_loop_is_late(self):
         guard = guard_at(1.5 * LATE_S)
         parts = []
         for _ in range(9):
             guard.adapt(0.0)
-            away = sum(guard.turns_away(CallKind.STREAM) for _ in range(500))
+            away = sum(guard.should_shed(CallKind.STREAM) for _ in range(500))
             parts.append(away / 500)
         assert parts[0] < 0.2 < 0.8 < parts[-1]
 
@@ -330,20 +332,20 @@
         guard = guard_at(1.5 * LATE_S)
         for _ in range(50):
             guard.adapt(0.0)
-        assert guard.turns_away(CallKind.STREAM)
+        assert guard.should_shed(CallKind.STREAM)
         guard.lateness.note(0.0)
         for _ in range(50):
             guard.adapt(0.0)
-        assert not guard.turns_away(CallKind.STREAM)
+        assert not guard.should_shed(CallKind.STREAM)
 
     def test_calls_with_one_answer_are_turned_away_last(self):
         """A booking is one answer, a draft dozens of events. Turned away alike, many
         bookings would be lost to win the time of a few drafts.
         """
         guard = guard_at(FAR_TOO_LATE_S)
-        assert guard.turns_away(CallKind.STREAM)
-        assert not guard.turns_away(CallKind.AT_MOST_ONCE)
-        assert guard_at(SHORT_CALL_FAR_TOO_LATE_S).turns_away(CallKind.AT_MOST_ONCE)
+        assert guard.should_shed(CallKind.STREAM)
+        assert not guard.should_shed(CallKind.AT_MOST_ONCE)
+        assert guard_at(SHORT_CALL_FAR_TOO_LATE_S).should_shed(CallKind.AT_MOST_ONCE)
 
     def test_callers_come_back_at_once_but_not_together(self):
         guard = guard_at(FAR_TOO_LATE_S)
@@ -353,7 +355,7 @@
 
 
 def saturate(guard, now=0.0):
-    for _ in range(STANDING_SAMPLES):
+    for _ in range(SUSTAINED_SAMPLES):
         guard.lateness.note(FAR_TOO_LATE_S)
     for _ in range(10):
         guard.adapt(now)
--- a/packages/fulmarroad-serving/tests/test_shares.py
+++ b/packages/fulmarroad-serving/tests/test_shares.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from fulmarroad_serving._shares import (
-    LACKING_WAIT,
-    LEAST_WAIT,
+    MIN_WAIT_FRACTION,
+    UNDERSERVED_WAIT_FRACTION,
     ShareBook,
     WorkspaceCount,
     max_min_level,
-    wait_part,
+    wait_fraction,
 )
 
 
@@ -39,8 +39,8 @@
             book.note_asked(workspace, units, now)
         book.note_got("flood", 4_000, now)
         book.note_got("small", 300, now)
-        flood = book.use_of("flood", 100, now).wait_part
-        small = book.use_of("small", 100, now).wait_part
+        flood = book.use_of("flood", 100, now).wait_fraction
+        small = book.use_of("small", 100, now).wait_fraction
         assert flood < 0.6 < small
 
     def test_shares_do_not_shrink_to_nothing_after_a_restart(self):
@@ -53,7 +53,7 @@
             book.note_asked(workspace, 6_000, now)
             book.note_got(workspace, 100, now)
         for workspace in ("a", "b", "c"):
-            assert book.use_of(workspace, 100, now).wait_part == 1.0
+            assert book.use_of(workspace, 100, now).wait_fraction == 1.0
 
     def test_who_asks_often_leaves_its_place_to_who_lacks_something(self):
         """Engines' queues swing. A workspace that asks ten times as often as another
@@ -76,7 +76,7 @@
             book.note_asked(workspace, asked, now)
             book.note_got(workspace, got, now)
         seldom = book.use_of("seldom", 700, now)
-        assert seldom.given > 1.0
+        assert seldom.used_fraction > 1.0
         assert seldom.may_spread
         assert not book.use_of("often", 100, now).may_spread
 
@@ -93,8 +93,8 @@
             book.note_asked(workspace, 1_000.0 * asked, now)
             book.note_got(workspace, 1_000.0 * got, now)
         seldom = book.use_of("seldom", 10_000, now)
-        assert seldom.given > 1.0
-        assert seldom.wait_part == LACKING_WAIT
+        assert seldom.used_fraction > 1.0
+        assert seldom.wait_fraction == UNDERSERVED_WAIT_FRACTION
         assert book.use_of("often", 10_000, now).yields
 
     def test_nobody_leaves_its_place_while_others_have_what_they_ask(self):
@@ -112,8 +112,8 @@
         for workspace, asked, got in (("most", 9_000, 2_400), ("more", 4_500, 400)):
             book.note_asked(workspace, asked, now)
             book.note_got(workspace, got, now)
-        assert book.use_of("most", 100, now).wait_part < 0.1
-        assert book.use_of("more", 100, now).wait_part > 0.9
+        assert book.use_of("most", 100, now).wait_fraction < 0.1
+        assert book.use_of("more", 100, now).wait_fraction > 0.9
 
     def test_surplus_waits_less_than_what_is_within_a_share(self):
         """The engines give more than operators promise. A workspace that asks for far
@@ -126,8 +126,8 @@
         large, small = (book.use_of(name, 10, now) for name in ("large", "small"))
         assert not large.may_spread
         assert small.may_spread
-        assert large.wait_part == LEAST_WAIT
-        assert small.wait_part == 1.0
+        assert large.wait_fraction == MIN_WAIT_FRACTION
+        assert small.wait_fraction == 1.0
 
     def test_a_workspace_within_its_share_is_not_held_to_the_stated_capacity(self):
         """The engines give five times what operators state, since most of each prompt
@@ -143,22 +143,22 @@
             book.note_got(workspace, got, now)
         middle = book.use_of("middle", 300, now)
         assert middle.may_spread
-        assert middle.wait_part == 1.0
+        assert middle.wait_fraction == 1.0
 
     def test_counts_of_other_routers_are_added(self):
         book, now = ShareBook(), 10.0
         book.note_asked("flood", 3_000, now)
         book.note_asked("other", 2_000, now)
         book.note_got("other", 2_000, now)
-        book.hear("router-b", {"flood": WorkspaceCount(3_000, 2_500)}, now)
-        assert book.use_of("flood", 0, now).given == pytest.approx(1.0)
-        assert book.use_of("flood", 0, now + 60).given == 0.0
+        book.receive_counts("router-b", {"flood": WorkspaceCount(3_000, 2_500)}, now)
+        assert book.use_of("flood", 0, now).used_fraction == pytest.approx(1.0)
+        assert book.use_of("flood", 0, now + 60).used_fraction == 0.0
 
     def test_nobody_is_limited_while_everything_fits(self):
         book = ShareBook()
         book.note_asked("one", 3_000, 0.0)
         book.note_got("one", 3_000, 0.0)
-        assert book.use_of("one", 1_000, 0.0).wait_part == 1.0
+        assert book.use_of("one", 1_000, 0.0).wait_fraction == 1.0
 
     def test_even_the_largest_may_use_an_idle_engine(self):
-        assert wait_part(100.0) == LEAST_WAIT > 0
+        assert wait_fraction(100.0) == MIN_WAIT_FRACTION > 0
--- a/packages/fulmarroad-serving/tests/test_shortlist.py
+++ b/packages/fulmarroad-serving/tests/test_shortlist.py
@@ -19,7 +19,7 @@
 from fulmarroad_serving._load import PeerLoad
 from fulmarroad_serving._registry import Registered
 from fulmarroad_serving._routing import choose_engine, home_order, part_id
-from fulmarroad_serving._shortlist import FIRST, MOST, Shortlist
+from fulmarroad_serving._shortlist import HOME_CANDIDATES, MAX_CANDIDATES, Shortlist
 
 NOW = 100.0
 CALL = Demand("c-1", "drafting", "coop", 0.4, "part", 6_000, 2_000, 50)
@@ -42,12 +42,12 @@
 
 class TestShortlist:
     def test_a_small_service_is_looked_at_whole(self):
-        servers = registered(MOST)
+        servers = registered(MAX_CANDIDATES)
         assert pick(servers) == names(servers)
 
     def test_the_front_of_the_part_s_order_is_the_same_at_every_router(self):
         servers = registered(80)
-        front = set(home_order(77, names(servers))[:FIRST])
+        front = set(home_order(77, names(servers))[:HOME_CANDIDATES])
         assert all(front <= set(pick(servers, seed=seed)) for seed in range(10))
 
     def test_servers_that_were_sent_the_part_last_are_looked_at(self):
@@ -119,7 +119,7 @@
             placement = dispatcher.place(call, NOW)
             assert isinstance(placement, Placement)
             dispatcher.send(call, placement, NOW)
-        assert looked.most <= MOST
+        assert looked.most <= MAX_CANDIDATES
 
     def test_routers_do_not_all_send_to_the_engine_that_has_just_come_free(self):
         """Eighty engines are behind, one is not. Two hundred routers hear so in the
@@ -133,7 +133,7 @@
             dispatcher = make(80, f"router-{n}")
             loads = {f"e-{k:03d}": PeerLoad(30, 60_000) for k in range(80)}
             loads[free] = PeerLoad(1, 0)
-            dispatcher.hear_load("*", loads, NOW)
+            dispatcher.receive_load("*", loads, NOW)
             placement = dispatcher.place(evolve(CALL, part=f"part-{n}"), NOW)
             if isinstance(placement, Placement):
                 sent[placement.choice.server] += 1
@@ -146,7 +146,7 @@
         dispatcher = make(80)
         front = set(home_order(part_id(CALL.part), names(registered(80)))[:79])
         for server in front:
-            dispatcher.trust(server).unreachable(NOW)
+            dispatcher.health(server).unreachable(NOW)
         placement = dispatcher.place(CALL, NOW)
         assert isinstance(placement, Placement)
         assert placement.choice.server not in front
--- a/packages/fulmarroad-serving/tests/test_store_returns.py
+++ b/packages/fulmarroad-serving/tests/test_store_returns.py
@@ -10,7 +10,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
-from platform_store import StandInStore
+from platform_store import FakePlatformStore
 
 from fulmarroad.audit import AuditTrail
 from fulmarroad.events import Event
@@ -27,17 +27,16 @@
     position,
     revision_of,
 )
-from fulmarroad_serving._beliefs import REWRITE_S, Beliefs
-from fulmarroad_serving._copies import (
+from fulmarroad_serving._pool import ConnectionPool
+from fulmarroad_serving._reader import BATCH_S, WATCH_S, StoreReader
+from fulmarroad_serving._registry import LAPSE_GRACE_S
+from fulmarroad_serving._replica import ReplicaDelta
+from fulmarroad_serving._replica_sync import (
     _asked_bytes,
     _delta_bytes,
     _read_asked,
     _read_delta,
 )
-from fulmarroad_serving._pool import ConnectionPool
-from fulmarroad_serving._reader import BATCH_S, WATCH_S, StoreReader
-from fulmarroad_serving._registry import LAPSE_GRACE_S
-from fulmarroad_serving._replica import ReplicaDelta
 from fulmarroad_serving._reports import (
     member_of,
     pack_member,
@@ -45,7 +44,8 @@
     read_member,
     read_report,
 )
-from fulmarroad_serving.contracts import CatalogFact, InstanceFact, InstanceGoneFact
+from fulmarroad_serving._router_state import REWRITE_S, RouterState
+from fulmarroad_serving.contracts import CatalogFact, InstanceFact, InstanceRemovedFact
 
 ROUTERS = st.sampled_from("ab")
 SERVERS = st.sampled_from(["s1", "s2", "s3"])
@@ -91,7 +91,7 @@
         store = PlatformStore("127.0.0.1", port)
         self.dispatcher = Dispatcher("router-a", "fes", FleetBounds(), 1)
         pool = ConnectionPool(clock)
-        self.beliefs = Beliefs(store, self.dispatcher, pool, AuditTrail(), clock)
+        self.beliefs = RouterState(store, self.dispatcher, pool, AuditTrail(), clock)
         self.reader = StoreReader(store, self.beliefs, lambda: True, clock, 1)
 
     async def catch_up(self, store):
@@ -114,7 +114,7 @@
     """Run a test beside a router that reads a stand-in store."""
 
     async def go():
-        store = StandInStore(**more)
+        store = FakePlatformStore(**more)
         store.put("op/config", config(7, "a.example"))
         store.put("servers/s-1", entry())
         store.put("servers/s-2", entry())
@@ -141,10 +141,10 @@
         caplog.set_level(logging.INFO, "fulmarroad.serving")
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("op/config", config(8, "a.example"))
             await router.catch_up(store)
-            store.come_back(kept)
+            store.restore_copy(kept)
             await router.catch_up(store)
 
         read(test)
@@ -164,11 +164,11 @@
         """
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             for n in range(6):
                 store.put("op/config", config(8 + n, "a.example"))
             await anyio.sleep(0.4)
-            store.come_back(kept)
+            store.restore_copy(kept)
             await anyio.sleep(0.4)
             store.put("op/config", config(20, "a.example", "b.example"))
             store.put("servers/s-1", entry("draining", 2))
@@ -184,10 +184,10 @@
         """
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("op/config", config(8, "a.example"))
             await router.catch_up(store)
-            store.come_back(kept)
+            store.restore_copy(kept)
             store.put("servers/s-1", entry("draining", 2))
             for n in range(9):
                 store.put("op/other", n)
@@ -198,11 +198,11 @@
 
     def test_two_returns_in_a_row(self):
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             for version in (20, 30):
                 store.put("op/config", config(version - 1, "a.example"))
                 await router.catch_up(store)
-                store.come_back(kept)
+                store.restore_copy(kept)
                 store.put("op/config", config(version, f"v{version}.example"))
             await router.catch_up(store)
             assert router.serves("v30.example")
@@ -213,10 +213,10 @@
         """A key was revoked; the copy from which the store comes back still has it."""
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("op/config", config(8, "b.example"))
             await router.catch_up(store)
-            store.come_back(kept)
+            store.restore_copy(kept)
             await router.catch_up(store)
             assert router.beliefs.catalog.version == 8
             assert router.serves("b.example")
@@ -227,13 +227,13 @@
         """The copy shows the server as it was before its word, or before its end."""
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("servers/s-1", entry("draining", 2))
             store.remove("servers/s-2")
             store.put("servers/s-3", entry())
             await router.catch_up(store)
             assert router.usable() == ["s-3"]
-            store.come_back(kept)
+            store.restore_copy(kept)
             store.put("servers/s-3", entry(sequence=2))
             await router.catch_up(store)
             assert router.usable() == ["s-3"]
@@ -242,10 +242,10 @@
 
     def test_a_server_that_the_copy_lacks_is_kept_until_it_writes_again(self):
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("servers/s-3", entry())
             await router.catch_up(store)
-            store.come_back(kept)
+            store.restore_copy(kept)
             await router.catch_up(store)
             assert router.usable() == ["s-1", "s-2", "s-3"]
             await anyio.sleep(LAPSE_GRACE_S + 0.1)
@@ -257,11 +257,11 @@
         """Its evacuation was acknowledged and is not in the copy."""
 
         async def test(store, router):
-            kept = store.keep_copy()
+            kept = store.save_copy()
             store.put("op/evacuate/fes", {})
             await router.catch_up(store)
             assert router.usable() == []
-            store.come_back(kept)
+            store.restore_copy(kept)
             await router.catch_up(store)
             assert router.usable() == []
             store.put("op/evacuate/fes", {})
@@ -298,8 +298,8 @@
         behind, ahead = StateReplica(), StateReplica()
         behind.replace([ReplicaItem("a", position(1, 50), b"old")], position(1, 60))
         ahead.replace([ReplicaItem("a", position(2, 7), b"new")], position(2, 8))
-        assert ahead.take_delta(behind.since(0)) == ()
-        fresh = behind.take_delta(ahead.since(behind.at))
+        assert ahead.apply_delta(behind.since(0)) == ()
+        fresh = behind.apply_delta(ahead.since(behind.at))
         assert fresh == (ReplicaItem("a", position(2, 7), b"new"),)
         assert behind.at == position(2, 8)
 
@@ -343,23 +343,23 @@
         now = [100.0]
         dispatcher = Dispatcher("a", "fes", FleetBounds())
         pool = ConnectionPool(lambda: now[0])
-        beliefs = Beliefs(Decoder(), dispatcher, pool, AuditTrail(), lambda: now[0])
+        beliefs = RouterState(Decoder(), dispatcher, pool, AuditTrail(), lambda: now[0])
         row = ReplicaItem("server/s1", position(1, 4), {"born": 7, "draining": False})
-        beliefs.take_listing([row], position(1, 5), 60.0, "store")
+        beliefs.apply_listing([row], position(1, 5), 60.0, "store")
         gone = ReplicaItem("server/s1", position(1, 6), None)
-        beliefs.take_changes([gone], position(1, 6), 60.0, "store")
+        beliefs.apply_changes([gone], position(1, 6), 60.0, "store")
         return beliefs, dispatcher.registry, now
 
-    def come_back(self, beliefs):
+    def restore_copy(self, beliefs):
         row = ReplicaItem("server/s1", position(2, 4), {"born": 7, "draining": False})
-        beliefs.take_listing([row], position(2, 5), 60.0, "store")
+        beliefs.apply_listing([row], position(2, 5), 60.0, "store")
 
     def test_an_entry_that_still_stands_after_a_while_is_believed(self):
         """The server's entry was removed by mistake and is right in the copy. Doubted
         for good, the server would never get a call again.
         """
         beliefs, registry, now = self.make()
-        self.come_back(beliefs)
+        self.restore_copy(beliefs)
         now[0] += REWRITE_S - 0.1
         beliefs.expire()
         assert not registry.usable("drafting")
@@ -369,9 +369,9 @@
 
     def test_an_entry_that_goes_meanwhile_is_not(self):
         beliefs, registry, now = self.make()
-        self.come_back(beliefs)
+        self.restore_copy(beliefs)
         gone = ReplicaItem("server/s1", position(2, 9), None)
-        beliefs.take_changes([gone], position(2, 9), 60.0, "store")
+        beliefs.apply_changes([gone], position(2, 9), 60.0, "store")
         now[0] += 2 * REWRITE_S
         beliefs.expire()
         assert not registry.usable("drafting")
@@ -382,22 +382,22 @@
         """
         beliefs, registry, _ = self.make()
         row = ReplicaItem("server/s1", position(1, 8), {"born": 9, "draining": False})
-        beliefs.take_changes([row], position(1, 8), 60.0, "store")
-        self.come_back(beliefs)
+        beliefs.apply_changes([row], position(1, 8), 60.0, "store")
+        self.restore_copy(beliefs)
         assert [row.instance.started_ms for row in registry.usable("drafting")] == [9]
 
     def test_a_start_before_the_one_that_left_is_not_used(self):
         beliefs, registry, _ = self.make()
         for revision, data in ((8, {"born": 9, "draining": False}), (9, None)):
             row = ReplicaItem("server/s1", position(1, revision), data)
-            beliefs.take_changes([row], position(1, revision), 60.0, "store")
-        self.come_back(beliefs)
+            beliefs.apply_changes([row], position(1, revision), 60.0, "store")
+        self.restore_copy(beliefs)
         assert not registry.usable("drafting")
 
     def test_a_server_that_starts_anew_is_not_doubted(self):
         beliefs, registry, now = self.make()
         row = ReplicaItem("server/s1", position(2, 4), {"born": 8, "draining": False})
-        beliefs.take_listing([row], position(2, 5), 60.0, "store")
+        beliefs.apply_listing([row], position(2, 5), 60.0, "store")
         assert registry.usable("drafting")
 
 
@@ -421,7 +421,7 @@
         for name in "ab":
             dispatcher = Dispatcher(name, "fes", FleetBounds())
             pool = ConnectionPool(lambda: self.now)
-            beliefs = Beliefs(
+            beliefs = RouterState(
                 Decoder(), dispatcher, pool, AuditTrail(), lambda: self.now
             )
             self.routers[name] = (beliefs, dispatcher.registry)
@@ -490,7 +490,7 @@
     def a_router_lists(self, router):
         beliefs, _ = self.routers[router]
         live = [item for item in self.items.values() if item.data is not None]
-        beliefs.take_listing(live, position(self.era, self.revision), 60.0, "store")
+        beliefs.apply_listing(live, position(self.era, self.revision), 60.0, "store")
         self.note_left()
 
     @rule(router=ROUTERS)
@@ -499,14 +499,16 @@
         known = beliefs.replica.at
         if known and era_of(known) == self.era:
             news = [item for item in self.log if item.revision > known]
-            beliefs.take_changes(news, position(self.era, self.revision), 60.0, "store")
+            beliefs.apply_changes(
+                news, position(self.era, self.revision), 60.0, "store"
+            )
             self.note_left()
 
     @rule(router=ROUTERS, other=ROUTERS)
     def a_router_hears_from_another(self, router, other):
         beliefs, theirs = self.routers[router][0], self.routers[other][0]
         if router != other:
-            beliefs.take_delta(theirs.replica.since(beliefs.replica.at), 60.0, other)
+            beliefs.apply_delta(theirs.replica.since(beliefs.replica.at), 60.0, other)
             self.note_left()
 
     @rule(seconds=st.floats(0.1, 3.0))
@@ -568,7 +570,7 @@
         if kind == "config":
             return CatalogFact(Catalog(item.data["version"])) if item.data else None
         if item.data is None:
-            return InstanceGoneFact(name)
+            return InstanceRemovedFact(name)
         return InstanceFact(
             Instance(
                 name,
--- a/packages/fulmarroad-serving/tests/test_suspects.py
+++ b/packages/fulmarroad-serving/tests/test_suspects.py
@@ -8,7 +8,7 @@
 from attrs import define, evolve, field
 from fleet_bed import FleetBed
 from serving_bed import (
-    EndingServers,
+    CrashingServers,
     answer,
     chunk,
     event,
@@ -18,18 +18,18 @@
 )
 
 from fulmarroad.exceptions import MessageError
-from fulmarroad_serving._fleet_view import MOST_SUSPECTS
+from fulmarroad_serving._fleet_view import MAX_SUSPECTS
 from fulmarroad_serving._reports import pack_report, read_report, unpack_report
 from fulmarroad_serving._suspects import (
     ANSWERING_S,
     BAR_S,
     GOOD_S,
     KEPT_S,
-    MOST_RECORDS,
+    MAX_RECORDS,
     TRIAL_S,
-    Standing,
     SuspectRow,
     Suspects,
+    SuspectState,
 )
 from fulmarroad_serving.contracts import CatalogFact
 
@@ -63,42 +63,47 @@
     """Return suspects of which one has ended servers at these times."""
     suspects = Suspects()
     for number, moment in enumerate(at):
-        suspects.note_end(POISON, number, moment)
+        suspects.note_crash(POISON, number, moment)
     return suspects
 
 
 class TestStanding:
     def test_each_end_narrows_what_may_be_done(self):
         suspects = Suspects()
-        assert suspects.standing(POISON, 1.0) is Standing.CLEAR
-        for number, standing in enumerate(
-            (Standing.WATCHED, Standing.ALONE, Standing.BARRED, Standing.BARRED)
+        assert suspects.suspect_state(POISON, 1.0) is SuspectState.CLEAR
+        for number, suspect_state in enumerate(
+            (
+                SuspectState.SERIALIZED,
+                SuspectState.ISOLATED,
+                SuspectState.BARRED,
+                SuspectState.BARRED,
+            )
         ):
-            suspects.note_end(POISON, number, 1.0)
-            assert suspects.standing(POISON, 1.0) is standing
+            suspects.note_crash(POISON, number, 1.0)
+            assert suspects.suspect_state(POISON, 1.0) is suspect_state
 
     def test_one_server_that_ends_counts_once(self):
         """Several copies of a request run at the server that ends; each notes it."""
         suspects = with_ends(1.0)
-        suspects.note_end(POISON, 0, 1.0)
-        assert suspects.standing(POISON, 1.0) is Standing.WATCHED
+        suspects.note_crash(POISON, 0, 1.0)
+        assert suspects.suspect_state(POISON, 1.0) is SuspectState.SERIALIZED
 
     def test_a_good_run_lets_a_request_off(self):
         suspects = with_ends(1.0, 2.0)
-        suspects.note_good(POISON, 3.0)
-        assert suspects.standing(POISON, 3.0) is Standing.CLEAR
-        suspects.note_end(POISON, 7, 3.0 + GOOD_S + 1)
-        assert suspects.standing(POISON, 30.0) is Standing.WATCHED
+        suspects.note_success(POISON, 3.0)
+        assert suspects.suspect_state(POISON, 3.0) is SuspectState.CLEAR
+        suspects.note_crash(POISON, 7, 3.0 + GOOD_S + 1)
+        assert suspects.suspect_state(POISON, 30.0) is SuspectState.SERIALIZED
 
     def test_a_body_that_many_send_is_not_barred_when_servers_end_together(self):
         """A data centre loses power with copies of one popular request at three of its
         servers. Three ends without a good run between them would bar it.
         """
         suspects = Suspects()
-        suspects.note_good(POISON, 1.0)
+        suspects.note_success(POISON, 1.0)
         for number in range(3):
-            suspects.note_end(POISON, number, 1.5)
-        assert suspects.standing(POISON, 1.5) is Standing.CLEAR
+            suspects.note_crash(POISON, number, 1.5)
+        assert suspects.suspect_state(POISON, 1.5) is SuspectState.CLEAR
 
     def test_a_barred_request_is_tried_once_after_its_time_and_then_more_rarely(self):
         """Servers get new software and run the request well: it must come back in. One
@@ -106,76 +111,81 @@
         """
         suspects = with_ends(1.0, 1.1, 1.2)
         later = 1.2 + BAR_S
-        assert suspects.standing(POISON, later - 1) is Standing.BARRED
-        assert suspects.standing(POISON, later) is Standing.ALONE
-        suspects.note_end(POISON, 3, later)
-        assert suspects.standing(POISON, later + BAR_S) is Standing.BARRED
-        assert suspects.standing(POISON, later + 2 * BAR_S) is Standing.ALONE
+        assert suspects.suspect_state(POISON, later - 1) is SuspectState.BARRED
+        assert suspects.suspect_state(POISON, later) is SuspectState.ISOLATED
+        suspects.note_crash(POISON, 3, later)
+        assert suspects.suspect_state(POISON, later + BAR_S) is SuspectState.BARRED
+        assert (
+            suspects.suspect_state(POISON, later + 2 * BAR_S) is SuspectState.ISOLATED
+        )
 
     def test_a_request_is_forgotten_in_the_end(self):
         suspects = with_ends(1.0)
-        suspects.news(MOST_SUSPECTS, 1.0 + KEPT_S)
-        assert suspects.standing(POISON, 1.0 + KEPT_S) is Standing.CLEAR
+        suspects.pop_updates(MAX_SUSPECTS, 1.0 + KEPT_S)
+        assert suspects.suspect_state(POISON, 1.0 + KEPT_S) is SuspectState.CLEAR
 
     def test_the_certain_ones_are_kept_when_there_are_too_many(self):
         """Each end of a server makes a hundred suspects. Pushed out by them, a request
         that ends servers would begin anew with three.
         """
         suspects = with_ends(1.0, 1.0, 1.0)
-        for number in range(10 * MOST_RECORDS):
-            suspects.note_end(name(number), number, 2.0 + number)
-        assert suspects.standing(POISON, 3.0) is Standing.BARRED
-        assert suspects.standing(name(1), 3.0) is Standing.CLEAR
-        newest = name(10 * MOST_RECORDS - 1)
-        assert suspects.standing(newest, 3.0) is Standing.WATCHED
+        for number in range(10 * MAX_RECORDS):
+            suspects.note_crash(name(number), number, 2.0 + number)
+        assert suspects.suspect_state(POISON, 3.0) is SuspectState.BARRED
+        assert suspects.suspect_state(name(1), 3.0) is SuspectState.CLEAR
+        newest = name(10 * MAX_RECORDS - 1)
+        assert suspects.suspect_state(newest, 3.0) is SuspectState.SERIALIZED
 
 
 class TestTelling:
     def told(self, *senders, now=5.0):
         hearer = Suspects()
         for sender in senders:
-            hearer.take(sender.news(MOST_SUSPECTS, now), now)
+            hearer.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
         return hearer
 
     def test_ends_that_routers_saw_apart_add_up(self):
         """Three routers see one end each. Each by itself would send the request on."""
         senders = [Suspects() for _ in range(3)]
         for number, sender in enumerate(senders):
-            sender.note_end(POISON, number, 4.0)
-        assert self.told(*senders).standing(POISON, 5.0) is Standing.BARRED
+            sender.note_crash(POISON, number, 4.0)
+        assert self.told(*senders).suspect_state(POISON, 5.0) is SuspectState.BARRED
 
     def test_an_end_that_two_routers_saw_counts_once(self):
         senders = [with_ends(4.0), with_ends(4.1)]
-        assert self.told(*senders).standing(POISON, 5.0) is Standing.WATCHED
+        assert self.told(*senders).suspect_state(POISON, 5.0) is SuspectState.SERIALIZED
 
     def test_a_good_run_elsewhere_lets_a_request_off(self):
         first, second = with_ends(4.0, 4.1), with_ends(4.0, 4.1)
-        second.note_good(POISON, 4.5)
-        assert self.told(first, second).standing(POISON, 5.0) is Standing.CLEAR
+        second.note_success(POISON, 4.5)
+        assert self.told(first, second).suspect_state(POISON, 5.0) is SuspectState.CLEAR
 
     def test_a_router_that_was_cut_off_hears_of_it_later(self):
         sender = with_ends(1.0, 1.0, 1.0)
         for tick in range(100):
-            sender.news(MOST_SUSPECTS, 1.0 + tick / 10)
-        assert self.told(sender, now=60.0).standing(POISON, 60.0) is Standing.BARRED
+            sender.pop_updates(MAX_SUSPECTS, 1.0 + tick / 10)
+        assert (
+            self.told(sender, now=60.0).suspect_state(POISON, 60.0)
+            is SuspectState.BARRED
+        )
 
     def test_the_most_certain_are_told_first_and_packets_are_bounded(self):
         suspects = with_ends(1.0, 1.0, 1.0)
         for number in range(200):
-            suspects.note_end(name(number), 99, 2.0)
-        rows = suspects.news(MOST_SUSPECTS, 2.0)
-        assert len(rows) == MOST_SUSPECTS
+            suspects.note_crash(name(number), 99, 2.0)
+        rows = suspects.pop_updates(MAX_SUSPECTS, 2.0)
+        assert len(rows) == MAX_SUSPECTS
         assert rows[0].fingerprint == POISON
 
     def test_all_are_told_within_two_seconds_of_packets(self):
         sender, hearer = Suspects(), Suspects()
         for number in range(100):
-            sender.note_end(name(number), 99, 2.0)
+            sender.note_crash(name(number), 99, 2.0)
         for tick in range(13):
             now = 2.0 + 0.15 * tick
-            hearer.take(sender.news(MOST_SUSPECTS, now), now)
-        standings = {hearer.standing(name(number), 4.0) for number in range(100)}
-        assert standings == {Standing.WATCHED}
+            hearer.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
+        standings = {hearer.suspect_state(name(number), 4.0) for number in range(100)}
+        assert standings == {SuspectState.SERIALIZED}
 
     def test_two_routers_that_agree_fall_silent(self):
         """Each takes the other's word for news, and both talk of it for ever."""
@@ -184,9 +194,9 @@
         for tick in range(200):
             now = 1.0 + tick / 10
             for sender, hearer in ((one, other), (other, one)):
-                news = sender.news(MOST_SUSPECTS, now)
-                hearer.take(news, now + 0.004, relay=True)
-                rows += len(news)
+                updates = sender.pop_updates(MAX_SUSPECTS, now)
+                hearer.merge_rows(updates, now + 0.004, relay=True)
+                rows += len(updates)
         assert rows <= 20
 
     def test_a_copy_waits_while_one_runs_at_another_router(self):
@@ -233,7 +243,7 @@
         bed = FleetBed(size, **trouble)
         bed.run(1.05)
         for number, host in enumerate(("h1", "h4", "h7")):
-            bed.routers[host].dispatcher.suspects.note_end(POISON, number, bed.now)
+            bed.routers[host].dispatcher.suspects.note_crash(POISON, number, bed.now)
         return bed
 
     def unaware(self, bed):
@@ -241,7 +251,8 @@
             row.host
             for row in bed.routers.values()
             if row.alive
-            and row.dispatcher.suspects.standing(POISON, bed.now) is not Standing.BARRED
+            and row.dispatcher.suspects.suspect_state(POISON, bed.now)
+            is not SuspectState.BARRED
         ]
 
     @pytest.mark.parametrize("size", [9, 60, 195])
@@ -255,23 +266,25 @@
         bed = FleetBed(60)
         bed.run(1.05)
         first = next(
-            host for host, row in bed.routers.items() if not row.view.collects(bed.now)
+            host
+            for host, row in bed.routers.items()
+            if not row.view.is_collector(bed.now)
         )
-        bed.routers[first].dispatcher.suspects.note_end(POISON, 1, bed.now)
+        bed.routers[first].dispatcher.suspects.note_crash(POISON, 1, bed.now)
         told = set()
         for _ in range(8):
             bed.tick()
             told |= {
                 host
                 for host, row in bed.routers.items()
-                if row.view._last.suspects and not row.view.collects(bed.now)
+                if row.view._last.suspects and not row.view.is_collector(bed.now)
             }
         assert told == {first}
         standings = {
-            row.dispatcher.suspects.standing(POISON, bed.now)
+            row.dispatcher.suspects.suspect_state(POISON, bed.now)
             for row in bed.routers.values()
         }
-        assert standings == {Standing.WATCHED}
+        assert standings == {SuspectState.SERIALIZED}
 
     @pytest.mark.parametrize("size", [9, 60])
     def test_lost_packets_hold_it_up_and_no_more(self, size):
@@ -301,7 +314,7 @@
         bed.run(3.0)
         for number in range(3):
             suspects = bed.routers["h1"].dispatcher.suspects
-            suspects.note_end(POISON, number, bed.now)
+            suspects.note_crash(POISON, number, bed.now)
         bed.run(3.0)
         assert {int(host[1:]) % 3 for host in self.unaware(bed)} == {2}
         bed.cut = ""
@@ -354,16 +367,16 @@
 
     def _tell(self):
         for sender in self.routers:
-            rows = sender.news(MOST_SUSPECTS, self.now)
+            rows = sender.pop_updates(MAX_SUSPECTS, self.now)
             for hearer in self.routers:
                 if hearer is not sender:
-                    hearer.take(rows, self.now)
+                    hearer.merge_rows(rows, self.now)
 
     def _finish_some(self, server):
         rows = self._running[server]
         for request in self._random.sample(sorted(rows), len(rows) // 10):
             router = self.routers[rows.pop(request)]
-            router.note_good(request, self.now)
+            router.note_success(request, self.now)
             router.end(request)
         while len(rows) < CALLS:
             self._start(rows)
@@ -386,12 +399,15 @@
         lost, self._running[server] = self._running[server], self._fill()
         for request, router in lost.items():
             answered_s = max(0.0, self.now - self._sent_at[request] - BEGUN_S)
-            self.routers[router].note_end(
+            self.routers[router].note_crash(
                 request, self._starts, self.now, answered_s=answered_s
             )
             self.routers[router].end(request)
         for request, router in lost.items():
-            if self.routers[router].standing(request, self.now) < Standing.ALONE:
+            if (
+                self.routers[router].suspect_state(request, self.now)
+                < SuspectState.ISOLATED
+            ):
                 self._send(request, router, avoid=server)
             elif request != POISON:
                 self._returns.append(
@@ -400,13 +416,13 @@
 
     def _send(self, request, router, avoid=None):
         suspects = self.routers[router]
-        if suspects.standing(request, self.now) is Standing.BARRED:
+        if suspects.suspect_state(request, self.now) is SuspectState.BARRED:
             self.barred += request != POISON
             return
         if suspects.tried(request, self.now):
             return
         free = [n for n in self._running if n != avoid]
-        if suspects.standing(request, self.now) is Standing.ALONE:
+        if suspects.suspect_state(request, self.now) is SuspectState.ISOLATED:
             tried = suspects.trial_servers(self.now)
             free = [n for n in free if n not in tried]
         if not free:
@@ -428,14 +444,14 @@
         """
         suspects = Suspects()
         for end in range(3):
-            suspects.note_end(POISON, end, 1.0, answered_s=ANSWERING_S)
-        assert suspects.standing(POISON, 1.0) is Standing.CLEAR
+            suspects.note_crash(POISON, end, 1.0, answered_s=ANSWERING_S)
+        assert suspects.suspect_state(POISON, 1.0) is SuspectState.CLEAR
 
     def test_one_that_ends_its_server_with_its_first_part_is(self):
         suspects = Suspects()
         for end in range(3):
-            suspects.note_end(POISON, end, 1.0, answered_s=ANSWERING_S / 2)
-        assert suspects.standing(POISON, 1.0) is Standing.BARRED
+            suspects.note_crash(POISON, end, 1.0, answered_s=ANSWERING_S / 2)
+        assert suspects.suspect_state(POISON, 1.0) is SuspectState.BARRED
 
 
 class TestCrashDays:
@@ -461,16 +477,16 @@
 def suspect(bed, ends):
     """Have the next request be known for some ends; return the requests asked about."""
     suspects, asked = bed.dispatcher.suspects, []
-    standing = suspects.standing
+    suspect_state = suspects.suspect_state
 
     def note(fingerprint, now):
         if not asked:
             for end in range(ends):
-                suspects.note_end(fingerprint, end, now)
+                suspects.note_crash(fingerprint, end, now)
         asked.append(fingerprint)
-        return standing(fingerprint, now)
+        return suspect_state(fingerprint, now)
 
-    suspects.standing = note
+    suspects.suspect_state = note
     return asked
 
 
@@ -506,7 +522,7 @@
         """
 
         async def test(bed):
-            servers = EndingServers(bed)
+            servers = CrashingServers(bed)
             await servers.start(*(f"s-{n}" for n in range(9)))
             await send_poison(bed, 5)
             assert 1 <= len(servers.ended) <= 3
@@ -516,7 +532,7 @@
     @pytest.mark.parametrize("path", ["/look/1", "/post/1"])
     def test_plain_services_lose_three_servers_at_most(self, path):
         async def test(bed):
-            servers = EndingServers(bed, service="ledger")
+            servers = CrashingServers(bed, service="ledger")
             await servers.start(*(f"s-{n}" for n in range(9)))
             await send_poison(bed, 5, path)
             assert 1 <= len(servers.ended) <= 3
@@ -527,7 +543,7 @@
         """Told to come back, the caller would; told "not run", it would be misled."""
 
         async def test(bed):
-            servers = EndingServers(bed)
+            servers = CrashingServers(bed)
             await servers.start(*(f"s-{n}" for n in range(4)))
             await send_poison(bed, 2)
             caller = await bed.call("/draft/1", method="POST", body=b"poison")
@@ -540,7 +556,7 @@
 
     def test_the_callers_other_requests_are_served(self):
         async def test(bed):
-            servers = EndingServers(bed)
+            servers = CrashingServers(bed)
             await servers.start(*(f"s-{n}" for n in range(5)))
             await send_poison(bed, 4)
             caller = await bed.call("/draft/1", method="POST", body=b"letter")
@@ -551,8 +567,8 @@
     def test_what_ended_two_servers_is_not_repeated_by_the_router(self):
         async def test(bed):
             routes = [evolve(row, max_attempts=5) for row in make_catalog().routes]
-            bed.tell(CatalogFact(make_catalog(2, routes=tuple(routes))))
-            servers = EndingServers(bed)
+            bed.apply_fact(CatalogFact(make_catalog(2, routes=tuple(routes))))
+            servers = CrashingServers(bed)
             await servers.start(*(f"s-{n}" for n in range(5)))
             caller = await bed.call("/draft/1", method="POST", body=b"poison")
             assert caller.status == 502
@@ -566,7 +582,7 @@
         """
 
         async def test(bed):
-            servers = EndingServers(bed)
+            servers = CrashingServers(bed)
             await servers.start("s-1", "s-2")
             acquire = bed.pool.acquire
 
@@ -574,7 +590,7 @@
                 connection = await acquire(*args)
                 for end in range(3):
                     for known in list(asked):
-                        bed.dispatcher.suspects.note_end(known, end, bed.now())
+                        bed.dispatcher.suspects.note_crash(known, end, bed.now())
                 return connection
 
             asked = suspect(bed, ends=0)
--- a/packages/fulmarroad-serving/tests/test_workspace_ends.py
+++ b/packages/fulmarroad-serving/tests/test_workspace_ends.py
@@ -7,36 +7,42 @@
 
 from fulmarroad.events import Event, emit
 from fulmarroad_serving._saturation import FAR_TOO_LATE_S
-from fulmarroad_serving._workspace_ends import MOST_TOLD, TOLD_EACH_S, WorkspaceEnds
+from fulmarroad_serving._workspace_outcomes import (
+    MAX_REPORTED,
+    REPORT_INTERVAL_S,
+    WorkspaceOutcomes,
+)
 from fulmarroad_serving.bounded_log import CALL_EVENTS, QUEUE_LINES, BoundedLog
 
 
 class TestWorkspaceEnds:
     def test_who_was_refused_is_told_with_all_its_calls(self):
-        ends = WorkspaceEnds()
+        ends = WorkspaceOutcomes()
         for outcome in ("on_time", "late", "router_busy", "router_busy"):
             ends.note("large", outcome)
         ends.note("small", "on_time")
-        (row,) = ends.take(TOLD_EACH_S)
+        (row,) = ends.pop_refusals(REPORT_INTERVAL_S)
         assert row.workspace == "large"
         assert row.ends == {"on_time": 1, "late": 1, "router_busy": 2}
 
     def test_each_call_is_told_once_and_not_more_often_than_each_second(self):
-        ends = WorkspaceEnds()
+        ends = WorkspaceOutcomes()
         ends.note("large", "wait_too_long")
-        assert ends.take(TOLD_EACH_S)
+        assert ends.pop_refusals(REPORT_INTERVAL_S)
         ends.note("large", "wait_too_long")
-        assert not ends.take(1.5 * TOLD_EACH_S)
-        assert ends.take(2 * TOLD_EACH_S)
-        assert not ends.take(4 * TOLD_EACH_S)
+        assert not ends.pop_refusals(1.5 * REPORT_INTERVAL_S)
+        assert ends.pop_refusals(2 * REPORT_INTERVAL_S)
+        assert not ends.pop_refusals(4 * REPORT_INTERVAL_S)
 
     def test_the_most_refused_come_first_and_the_rest_is_left_out(self):
-        ends = WorkspaceEnds()
-        for number in range(2 * MOST_TOLD):
+        ends = WorkspaceOutcomes()
+        for number in range(2 * MAX_REPORTED):
             for _ in range(number + 1):
                 ends.note(f"w{number}", "wait_too_long")
-        told = [row.workspace for row in ends.take(TOLD_EACH_S)]
-        assert told == [f"w{2 * MOST_TOLD - 1 - rank}" for rank in range(MOST_TOLD)]
+        told = [row.workspace for row in ends.pop_refusals(REPORT_INTERVAL_S)]
+        assert told == [
+            f"w{2 * MAX_REPORTED - 1 - rank}" for rank in range(MAX_REPORTED)
+        ]
 
 
 class TestSight:
@@ -62,7 +68,7 @@
             for _ in range(10):
                 bed.lateness.note(FAR_TOO_LATE_S)
             await bed.call("/draft/1", method="POST", body=b"p")
-            (row,) = bed.app.ends.take(bed.now())
+            (row,) = bed.app.ends.pop_refusals(bed.now())
             assert (row.workspace, row.ends) == ("coop", {"router_busy": 1})
 
         run(test)
--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -23,7 +23,7 @@
 from fulmarroad._tables import Route, Workspace
 from fulmarroad.types import PoolName, RefusalReason, WorkspaceName
 
-MOST_WAITING = 1024
+MAX_WAITING = 1024
 """Requests that wait at one router. Its part of the peak (3,100 requests a second over
 370 routers) for the usual longest wait of 30 s is 250; four times that rides out a
 burst, and at 8 KB of body each it is 8 MB."""
@@ -93,8 +93,8 @@
 class Admission:
     """Hold what waits at one router, for each workspace and in all."""
 
-    def __init__(self, most_waiting: int = MOST_WAITING) -> None:
-        self._most_waiting = most_waiting
+    def __init__(self, max_waiting: int = MAX_WAITING) -> None:
+        self._max_waiting = max_waiting
         self._waiting: OrderedDict[str, _Waiting] = OrderedDict()  # oldest first
         self._of_workspace: dict[WorkspaceName, OrderedDict[str, _Waiting]] = {}
         self._wait_s: dict[PoolName, float] = {}
@@ -160,7 +160,7 @@
 
     def room(self, workspace: Workspace) -> int:
         """Return how many requests of a workspace may wait as the queue stands."""
-        free = self._most_waiting - len(self._waiting)
+        free = self._max_waiting - len(self._waiting)
         own = max(ALWAYS_ROOM, int(ROOM_FACTOR * free))
         return min(workspace.max_waiting, own)
 
@@ -183,7 +183,7 @@
         if len(own) >= self.room(workspace) and not self._make_room(own, now):
             reason = RefusalReason.WORKSPACE_QUEUE_FULL
             return _refuse(reason, view.wait_s, request_id)
-        full = len(self._waiting) >= self._most_waiting
+        full = len(self._waiting) >= self._max_waiting
         if full and not self._make_room_in_all(workspace, now):
             return _refuse(RefusalReason.QUEUE_FULL, view.wait_s, request_id)
         return None
--- a/packages/fulmarroad/src/fulmarroad/_commands.py
+++ b/packages/fulmarroad/src/fulmarroad/_commands.py
@@ -65,14 +65,14 @@
 
 
 @frozen
-class TakeTables:
+class SetTables:
     """Put new tables in force."""
 
     tables: Tables
 
 
 @frozen
-class TakeMembers:
+class SetMembers:
     """Take the membership's view: live routers and where peers listen."""
 
     live: Mapping[DataCentreName, tuple[RouterName, ...]]
@@ -80,7 +80,7 @@
 
 
 @frozen
-class TakeVms:
+class SetVms:
     """Take the published VMs of each data centre."""
 
     vms: Mapping[DataCentreName, tuple[RouterName, ...]]
--- a/packages/fulmarroad/src/fulmarroad/_concurrency.py
+++ b/packages/fulmarroad/src/fulmarroad/_concurrency.py
@@ -71,7 +71,9 @@
 """Gain of the mean length of answers: about the last twenty count."""
 
 
-def strain(pool: Pool, first_s: float | None, gap_s: float | None) -> float | None:
+def latency_ratio(
+    pool: Pool, first_s: float | None, gap_s: float | None
+) -> float | None:
     """Return the worse of an answer's times as a multiple of the pool's targets."""
     parts = []
     if first_s is not None:
@@ -81,7 +83,7 @@
     return max(parts, default=None)
 
 
-def in_full_use(running: int, usable: int) -> bool:
+def is_fully_used(running: int, usable: int) -> bool:
     """Tell whether a server ran about all that it might."""
     return running >= usable - usable // FULL_PART
 
--- a/packages/fulmarroad/src/fulmarroad/_config_task.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_task.py
@@ -134,7 +134,7 @@
             group.start_soon(self._follow_news)
             group.start_soon(self._join)
 
-    def heard(self, router: RouterName, version: int) -> None:
+    def record_peer_version(self, router: RouterName, version: int) -> None:
         """Note the version that a peer says it has in force."""
         if version > max(self._store.version, self._invalid_version):
             self._heard[router] = version
--- a/packages/fulmarroad/src/fulmarroad/_coordinator.py
+++ b/packages/fulmarroad/src/fulmarroad/_coordinator.py
@@ -30,11 +30,11 @@
     NoteProgress,
     NoteStarted,
     Reply,
+    SetMembers,
+    SetTables,
+    SetVms,
     StepDownAll,
     Submit,
-    TakeMembers,
-    TakeTables,
-    TakeVms,
     Tick,
 )
 from fulmarroad._follower import Follower
@@ -114,14 +114,14 @@
         """Return the hosted schedulers, for reading."""
         return self._roles
 
-    def tell(self, command: Any) -> None:
+    def send_command(self, command: Any) -> None:
         """Queue a command; it never blocks."""
         self._send.send_nowait(command)
 
     async def request(self, ask: Ask) -> Granted | Rejected:
         """Return a lease or a rejection; withdraw the demand if cancelled."""
         send, receive = anyio.create_memory_object_stream[Granted | Rejected](1)
-        self.tell(Submit(ask, send))
+        self.send_command(Submit(ask, send))
         try:
             return await receive.receive()
         except BaseException:
@@ -140,24 +140,24 @@
         try:
             answer = receive.receive_nowait()
         except anyio.WouldBlock:
-            self.tell(Cancel(ask.demand_id))
+            self.send_command(Cancel(ask.demand_id))
             return
         if isinstance(answer, Granted):
-            self.tell(NoteFinished(_declined(answer)))
+            self.send_command(NoteFinished(_declined(answer)))
 
     def on_attached(self, peer: RouterName, send: Callable[[Any], None]) -> int:
         """Note a peer's stream."""
         self._handles += 1
-        self.tell(Attached(peer, self._handles, send))
+        self.send_command(Attached(peer, self._handles, send))
         return self._handles
 
     def on_message(self, peer: RouterName, message: Any) -> None:
         """Take a message of a peer's stream."""
-        self.tell(FromPeer(peer, message))
+        self.send_command(FromPeer(peer, message))
 
     def on_detached(self, peer: RouterName, handle: int) -> None:
         """Note that a peer's stream ended."""
-        self.tell(Detached(peer, handle))
+        self.send_command(Detached(peer, handle))
 
     async def run(self) -> None:
         """Handle commands until cancelled."""
@@ -170,7 +170,7 @@
     async def _run_ticks(self) -> None:
         while True:
             await anyio.sleep(TICK_S)
-            self.tell(Tick())
+            self.send_command(Tick())
 
     def _handle(self, command: Any, now: float) -> None:
         handler = self._HANDLERS[type(command)]
@@ -202,16 +202,16 @@
     def _note_finished(self, command: NoteFinished, now: float) -> None:
         self._decide(self._follower.finished(command.report, now), now)
 
-    def _take_tables(self, command: TakeTables, now: float) -> None:
+    def _take_tables(self, command: SetTables, now: float) -> None:
         self._host(self._roles.set_tables(command.tables, now), now)
         self._decide(self._follower.set_tables(command.tables, now), now)
 
-    def _take_members(self, command: TakeMembers, now: float) -> None:
+    def _take_members(self, command: SetMembers, now: float) -> None:
         self._addresses = command.addresses
         self._host(self._roles.set_live(command.live, now), now)
         self._decide(self._follower.set_live(command.live, now), now)
 
-    def _take_vms(self, command: TakeVms, now: float) -> None:
+    def _take_vms(self, command: SetVms, now: float) -> None:
         self._roles.set_vms(command.vms, now)
 
     def _step_down(self, command: StepDownAll, now: float) -> None:
@@ -228,7 +228,7 @@
 
     def _from_peer(self, command: FromPeer, now: float) -> None:
         if isinstance(command.message, m.ServiceReport):
-            self._host(self._roles.absorb(command.message, now), now)
+            self._host(self._roles.receive_report(command.message, now), now)
             return
         self._host(self._roles.handle(command.peer, command.message, now), now)
 
@@ -289,7 +289,7 @@
     def _send_to(self, decision: SendTo, now: float) -> None:
         """Send to a scheduler; without a stream, the hello at its start tells all."""
         if decision.peer == self._router:
-            self.tell(FromPeer(self._router, decision.message))
+            self.send_command(FromPeer(self._router, decision.message))
             return
         link = self._link_to(decision.peer)
         if link is not None and link.outbox is not None:
@@ -319,7 +319,7 @@
 
     def _send_follower(self, output: ToFollower) -> None:
         if output.router == self._router:
-            self.tell(FromScheduler(self._router, output.message))
+            self.send_command(FromScheduler(self._router, output.message))
             return
         _, send = self._followers.get(output.router, (0, None))
         if send is not None:
@@ -334,7 +334,7 @@
         }
         for peer in sorted(peers):
             if peer == self._router:
-                self.tell(FromPeer(self._router, report))
+                self.send_command(FromPeer(self._router, report))
                 continue
             link = self._link_to(peer)
             if link is not None and link.outbox is not None:
@@ -366,7 +366,7 @@
 
         def on_up() -> None:
             link.outbox = outbox
-            self.tell(LinkUp(peer))
+            self.send_command(LinkUp(peer))
 
         try:
             with link.scope:
@@ -378,14 +378,14 @@
         finally:
             outbox.close()
             link.outbox = None
-            self.tell(LinkLost(peer))
+            self.send_command(LinkLost(peer))
             with anyio.CancelScope(shield=True):
                 await stream.close()
         await anyio.sleep(REDIAL_S)
         self._links.pop(peer, None)
 
     def _take(self, peer: RouterName, message: Any) -> None:
-        self.tell(FromScheduler(peer, message))
+        self.send_command(FromScheduler(peer, message))
 
     _HANDLERS: Mapping[type, Callable[..., None]] = {
         Submit: _submit,
@@ -394,9 +394,9 @@
         NoteStarted: _note_started,
         NoteProgress: _note_progress,
         NoteFinished: _note_finished,
-        TakeTables: _take_tables,
-        TakeMembers: _take_members,
-        TakeVms: _take_vms,
+        SetTables: _take_tables,
+        SetMembers: _take_members,
+        SetVms: _take_vms,
         StepDownAll: _step_down,
         Tick: _tick,
         FromPeer: _from_peer,
--- a/packages/fulmarroad/src/fulmarroad/_datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/_datagrams.py
@@ -17,7 +17,7 @@
 MOST_BYTES = 65_536
 """Longest packet of UDP."""
 
-MOST_A_TURN = 256
+MAX_PACKETS_PER_TURN = 256
 """Packets read in one turn: more than collectors send in a second, and after a flood of
 them the loop still comes to its other work."""
 
@@ -74,7 +74,7 @@
         self._socket.sendto(data, (host, port))
 
     def _read(self) -> None:
-        for _ in range(MOST_A_TURN):
+        for _ in range(MAX_PACKETS_PER_TURN):
             if self._socket is None:
                 return
             try:
