--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -47,7 +47,7 @@
 """Stale heap entries kept beyond four for each backlogged workspace."""
 
 
-def sane(value: float) -> float:
+def sanitize(value: float) -> float:
     """Return a reported amount, or 0 for one that no honest peer sends."""
     return value if math.isfinite(value) and value > 0 else 0.0
 
@@ -117,7 +117,7 @@
         """Tell whether the workspace is backlogged here or elsewhere in the pool."""
         return bool(self.waiting) or self.active_until > now
 
-    def lift(self, floor: float, now: float) -> None:
+    def reset_to_floor(self, floor: float, now: float) -> None:
         """Begin a new era at the floor; debts of the former one are forgiven."""
         self.earlier = self.counter
         self.floor = floor
@@ -149,8 +149,8 @@
 
     def add(self, demand: Demand, router: RouterName, now: float) -> bool:
         """Queue a demand by its original arrival; return false if it waits already."""
-        arrival = now - sane(demand.waited_s)
-        deadline = now + sane(demand.remaining_s)
+        arrival = now - sanitize(demand.waited_s)
+        deadline = now + sanitize(demand.remaining_s)
         return self.restore(Waiting(demand, router, arrival, deadline), now)
 
     def restore(self, waiting: Waiting, now: float) -> bool:
@@ -173,12 +173,12 @@
         self._mean = 0.0
 
     @property
-    def spreads(self) -> bool:
+    def reports_totals(self) -> bool:
         """Tell that totals and moves between shards apply to this policy."""
         return True
 
     @property
-    def usual_cost(self) -> float:
+    def mean_cost(self) -> float:
         """Return the running mean of every request's cost, 0 while none is known."""
         return self._mean
 
@@ -188,9 +188,9 @@
         if demand.demand_id in self._waiting:
             return False
         account = self.account(demand.workspace)
-        account.weight = sane(demand.weight) or 1.0
+        account.weight = sanitize(demand.weight) or 1.0
         if not account.active(now):
-            account.lift(self._floor(now), now)
+            account.reset_to_floor(self._floor(now), now)
         account.asked = now
         insort(account.waiting, waiting, key=attrgetter("arrival"))
         self._waiting[demand.demand_id] = waiting
@@ -247,18 +247,18 @@
         """
         account = self.account(workspace)
         account.running += 1
-        amount = sane(charged)
+        amount = sanitize(charged)
         account.since += amount / account.weight
         return Charge(workspace, account.weight, account.era, amount, amount)
 
     def progress(self, charge: Charge, service: float) -> None:
         """Note service used; what goes beyond the estimate is charged at once."""
-        charge.reported += sane(service)
+        charge.reported += sanitize(service)
         self._add(charge, max(0.0, charge.reported - charge.amount))
 
     def finish(self, charge: Charge, service: float, *, learn: bool = True) -> None:
         """Replace what was charged by the whole cost of an ended lease."""
-        total = sane(service)
+        total = sanitize(service)
         account = self.account(charge.workspace)
         account.running = max(0, account.running - 1)
         self._add(charge, total - charge.amount)
@@ -277,7 +277,7 @@
         """Return the accounts with waiting demands, the least served first."""
         return sorted(self._backlogged.values(), key=attrgetter("counter"))
 
-    def elsewhere(self, now: float) -> list[Account]:
+    def backlogged_elsewhere(self, now: float) -> list[Account]:
         """Return the accounts that wait at other shards only."""
         rows = self._remote.values()
         return [row for row in rows if row.active_until > now and not row.waiting]
@@ -295,7 +295,7 @@
         account.active_until = max(account.active_until, until)
         self._remote[account.name] = account
 
-    def least(self) -> float | None:
+    def min_counter(self) -> float | None:
         """Return the least counter of the workspaces that wait here."""
         account = self._top()
         return None if account is None else account.counter
@@ -341,7 +341,7 @@
         itself back until the correction.
         """
         usual = self._mean if account.mean is None else account.mean
-        return max(sane(hint), usual)
+        return max(sanitize(hint), usual)
 
     def _add(self, charge: Charge, amount: float) -> None:
         if not amount:
@@ -358,11 +358,11 @@
             self._push(account)
 
     def _floor(self, now: float) -> float:
-        least = self.least()
-        if least is not None:
-            return least
-        elsewhere = (row.counter for row in self.elsewhere(now))
-        return min(elsewhere, default=self._reached)
+        min_counter = self.min_counter()
+        if min_counter is not None:
+            return min_counter
+        counters = (row.counter for row in self.backlogged_elsewhere(now))
+        return min(counters, default=self._reached)
 
     def _push(self, account: Account) -> None:
         """Enter an account into the heap; the entry before it becomes stale."""
--- a/packages/fulmarroad/src/fulmarroad/_follower.py
+++ b/packages/fulmarroad/src/fulmarroad/_follower.py
@@ -17,9 +17,9 @@
     FollowChange,
     Granted,
     Lease,
-    LostPeers,
     Rejected,
     SendTo,
+    UnreachablePeers,
     Waiting,
 )
 from fulmarroad._running import RunningLeases
@@ -62,7 +62,7 @@
         self._incarnation = incarnation
         self._data_centre = data_centre
         self._map = ShardMap()
-        self._lost = LostPeers()
+        self._lost = UnreachablePeers()
         self._follows: dict[ShardId, Follow] = {}
         self._waiting = WaitingDemands()
         self._running = RunningLeases()
@@ -183,11 +183,11 @@
             return []
         if isinstance(message, m.Welcome):
             follow.epoch = message.epoch
-            follow.heard = now
+            follow.last_message_at = now
             return []
         if follow.epoch != message.epoch:
             return []
-        follow.heard = now
+        follow.last_message_at = now
         if isinstance(message, m.Heartbeat):
             return self._on_heartbeat(follow, message, now)
         if isinstance(message, m.Move):
@@ -250,7 +250,7 @@
             return []
         decisions = self._follow(shard, now)
         follow = self._follows[shard]
-        follow.used = now
+        follow.last_used_at = now
         if decisions:
             return decisions  # the hello carries the demand
         return self._tell(shard, waiting.demand(now))
@@ -259,7 +259,7 @@
         """Begin to follow a shard's scheduler unless that is done."""
         if shard in self._follows:
             return []
-        follow = Follow(shard, self.schedulers.get(shard), used=now)
+        follow = Follow(shard, self.schedulers.get(shard), last_used_at=now)
         self._follows[shard] = follow
         return self._hello(follow, now)
 
@@ -273,12 +273,12 @@
             incarnation=self._incarnation,
             data_centre=self._data_centre,
             clock=now,
-            demands=self._waiting.told(shard, now),
-            leases=self._running.told(shard, now),
-            hints=follow.told_hints(now),
+            demands=self._waiting.snapshot(shard, now),
+            leases=self._running.snapshot(shard, now),
+            hints=follow.hints_snapshot(now),
             handed_over=follow.handed_over,
         )
-        follow.greet(now)
+        follow.record_hello(now)
         return [SendTo(follow.scheduler, hello)]
 
     def _tell(self, shard: ShardId, message: m.SchedulerMessage) -> list[Decision]:
@@ -341,12 +341,12 @@
     ) -> list[Decision]:
         waiting = self._waiting.at(grant.shard, grant.demand_id)
         following = follow.epoch if follow and follow.scheduler == peer else None
-        greeted = follow.hello_at if follow else now
+        hello_clock = follow.hello_sent_at if follow else now
         server = self._map.server(grant.unit.server)
         if (
             waiting is None
             or server is None
-            or not grant_valid(grant, following, now, greeted)
+            or not grant_valid(grant, following, now, hello_clock)
         ):
             return self._decline(peer, grant, waiting, following, now)
         self._waiting.pop(grant.demand_id)
@@ -430,7 +430,7 @@
         for peer in silent - {self._router}:
             if peer is not None:
                 decisions += self._pass_over(peer, now)
-        if self._lost.take_back(now):
+        if self._lost.expire(now):
             decisions += self._reassign(now)
         return decisions
 
@@ -447,7 +447,7 @@
         for shard, follow in list(self._follows.items()):
             if shard.data_centre == self._data_centre or shard in busy:
                 continue
-            if now - follow.used > FOREIGN_IDLE_S:
+            if now - follow.last_used_at > FOREIGN_IDLE_S:
                 decisions += self._tell(shard, m.Goodbye(shard, self._router))
                 del self._follows[shard]
         return decisions
--- a/packages/fulmarroad/src/fulmarroad/_following.py
+++ b/packages/fulmarroad/src/fulmarroad/_following.py
@@ -140,7 +140,7 @@
     first_s: float | None = None
     gap_s: float | None = None
 
-    def told(self, now: float) -> m.RunningLease:
+    def snapshot(self, now: float) -> m.RunningLease:
         """Return the lease as a new scheduler gets it, with all service so far."""
         self.charged += self.unreported
         self.unreported = 0.0
@@ -157,7 +157,7 @@
 
 
 @define
-class LostPeers:
+class UnreachablePeers:
     """Remember whose streams broke, to pass them over for a while."""
 
     _until: dict[RouterName, float] = field(factory=dict)
@@ -170,7 +170,7 @@
         """Tell whether a peer is passed over."""
         return self._until.get(peer, now) > now
 
-    def take_back(self, now: float) -> bool:
+    def expire(self, now: float) -> bool:
         """Forget those whose time is over; tell whether there were any."""
         back = [peer for peer, until in self._until.items() if until <= now]
         for peer in back:
@@ -185,25 +185,25 @@
     shard: ShardId
     scheduler: RouterName | None = None
     epoch: Epoch | None = None
-    hello_at: float = 0.0
-    heard: float = 0.0
-    used: float = 0.0
+    hello_sent_at: float = 0.0
+    last_message_at: float = 0.0
+    last_used_at: float = 0.0
     heartbeat: m.Heartbeat | None = None
     handed_over: bool = False
     hints: dict[ServerName, tuple[m.ServerStatus, float]] = field(factory=dict)
 
-    def greet(self, now: float) -> None:
+    def record_hello(self, now: float) -> None:
         """Note that the scheduler is greeted and has to answer."""
         self.epoch = None
-        self.hello_at = now
-        self.heard = now
+        self.hello_sent_at = now
+        self.last_message_at = now
 
     def silent(self, now: float) -> bool:
         """Tell whether the scheduler has not been heard for too long."""
         limit = SILENCE_S if self.epoch is not None else HELLO_TIMEOUT_S
-        return self.scheduler is not None and now - self.heard > limit
+        return self.scheduler is not None and now - self.last_message_at > limit
 
-    def told_hints(self, now: float) -> tuple[m.ServerHint, ...]:
+    def hints_snapshot(self, now: float) -> tuple[m.ServerHint, ...]:
         """Return what is known of the shard's servers, as a new scheduler gets it."""
         return tuple(
             m.ServerHint(name, status.limit, status.warmth, now - at)
--- a/packages/fulmarroad/src/fulmarroad/_gossip.py
+++ b/packages/fulmarroad/src/fulmarroad/_gossip.py
@@ -39,7 +39,7 @@
 
 
 @frozen
-class VersionHeard:
+class HigherVersionReported:
     """Say that another router has a higher table version in force."""
 
     version: int
@@ -108,7 +108,7 @@
             MemberChange
         ](CHANGES_KEPT)
         self._send_version, self._versions = anyio.create_memory_object_stream[
-            VersionHeard
+            HigherVersionReported
         ](1)
 
     @property
@@ -122,7 +122,7 @@
         return self._changes
 
     @property
-    def versions(self) -> MemoryObjectReceiveStream[VersionHeard]:
+    def versions(self) -> MemoryObjectReceiveStream[HigherVersionReported]:
         """Return the stream of higher table versions heard; it holds one."""
         return self._versions
 
@@ -229,11 +229,11 @@
             pass  # the reader has a thousand to read and looks at `Swim` then
 
     def _tell_version(self) -> None:
-        version, router = self._swim.highest_version_heard()
+        version, router = self._swim.highest_reported_version()
         if version <= max(self._version_told, self._swim.table_version):
             return
         try:
-            self._send_version.send_nowait(VersionHeard(version, router))
+            self._send_version.send_nowait(HigherVersionReported(version, router))
             self._version_told = version
         except anyio.WouldBlock:
             pass  # told again with the next packet, once the reader took the last one
--- a/packages/fulmarroad/src/fulmarroad/_granting.py
+++ b/packages/fulmarroad/src/fulmarroad/_granting.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from fulmarroad._fairqueue import Eligible, Waiting, sane
+from fulmarroad._fairqueue import Eligible, Waiting, sanitize
 from fulmarroad._leases import Follower, Lease, LeaseTable
 from fulmarroad._messages import (
     Finished,
@@ -15,7 +15,7 @@
     RunningLease,
     ServiceUsed,
 )
-from fulmarroad._pace import Pace
+from fulmarroad._pace import ServiceTimeEstimator
 from fulmarroad._placement import PrefixMap, choose_unit
 from fulmarroad._policies import SchedulingPolicy
 from fulmarroad._shares import START_WINDOW_S
@@ -44,7 +44,7 @@
         self._queue = queue
         self._leases = LeaseTable(epoch)
         self._prefixes = PrefixMap()
-        self._pace = Pace()
+        self._service_times = ServiceTimeEstimator()
         self._changes: list[WarmthChange] = []
 
     @property
@@ -53,9 +53,9 @@
         return self._leases
 
     @property
-    def pace(self) -> Pace:
+    def service_times(self) -> ServiceTimeEstimator:
         """Return what is known of how long requests take."""
-        return self._pace
+        return self._service_times
 
     def next_grant(
         self, followers: dict[RouterName, Follower], now: float
@@ -75,7 +75,7 @@
         """Take over a lease that a former scheduler granted."""
         self._book.adopt_lease(row, router, now)
         charge = self._queue.adopt(row.workspace, row.charged)
-        deadline = now + sane(row.remaining_s)
+        deadline = now + sanitize(row.remaining_s)
         lease = Lease(row.lease_id, row.demand_id, router, row.unit, charge, deadline)
         lease.started = True
         self._leases.add(lease)
@@ -104,9 +104,9 @@
             self._end(lease, 0.0, now, learn=False)
             return
         completed = message.outcome is Outcome.COMPLETED
-        service = sane(message.service)
+        service = sanitize(message.service)
         if completed:
-            self._pace.note(message.total_s)
+            self._service_times.note(message.total_s)
             self._note_prefix(lease, message.cached_prefix, now)
         changes = self._book.observe(
             lease.unit.server,
@@ -189,7 +189,7 @@
         return Send(waiting.router, grant)
 
     def _choose(self, waiting: Waiting, free: Sequence[FreeUnit]) -> Unit:
-        usual = self._queue.usual_cost or None
+        usual = self._queue.mean_cost or None
         unit = choose_unit(waiting.demand, free, self._prefixes, mean_cost=usual)
         assert unit is not None, "an eligible demand fits a free unit"
         return unit
--- a/packages/fulmarroad/src/fulmarroad/_grpc.py
+++ b/packages/fulmarroad/src/fulmarroad/_grpc.py
@@ -91,7 +91,7 @@
     def on_detached(self, peer: RouterName, handle: int) -> None:
         """Note that a peer's stream ended."""
 
-    async def on_question(self, peer: RouterName, message: Any) -> Any:
+    async def on_request(self, peer: RouterName, message: Any) -> Any:
         """Answer a single question."""
 
 
@@ -264,7 +264,7 @@
         except (MessageError, ValueError) as error:
             emit(logger, Event.PEER_REJECTED, peer=peer, cause=str(error))
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-        answer = encode(await self._handler.on_question(peer, question))
+        answer = encode(await self._handler.on_request(peer, question))
         self._traffic.note_sent(len(answer))
         return answer
 
--- a/packages/fulmarroad/src/fulmarroad/_keygroup.py
+++ b/packages/fulmarroad/src/fulmarroad/_keygroup.py
@@ -16,8 +16,8 @@
     Finished,
     Full,
     Mismatch,
-    Outrun,
     Started,
+    Superseded,
     Unknown,
     Unverifiable,
     Verdict,
@@ -191,7 +191,7 @@
             return await self._start(call)
         call = evolve(call, fence=self._clocks.wall_ms())
         verdict = await self._fence(call)
-        if isinstance(verdict, Outrun):
+        if isinstance(verdict, Superseded):
             call = evolve(call, fence=verdict.fence + 1)
             verdict = await self._fence(call)
         if isinstance(verdict, Fenced):
@@ -213,7 +213,7 @@
             return
         await self._end(attempt, "finished", status, headers, body)
 
-    async def lose(self, attempt: KeyAttempt) -> None:
+    async def mark_outcome_unknown(self, attempt: KeyAttempt) -> None:
         """Keep that an attempt was sent and that its outcome is not known."""
         await self._end(attempt, "unknown", 0)
 
@@ -234,9 +234,9 @@
             case KeyFinish():
                 return self._store.finish(message, now)
             case KeyCopyWanted():
-                return self._store.give_copy(message, now)
+                return self._store.serve_copy(message, now)
 
-    async def copy_for_ever(self) -> None:
+    async def run_copying(self) -> None:
         """Copy the records of the groups that this router has no memory of."""
         while True:
             await self.copy_once()
@@ -247,10 +247,10 @@
         now = self._clocks.now()
         own = self._groups().get(self._identity.data_centre, ())
         self._store.set_vms(own, now)
-        wanted = self._store.wanted_copies(now)
+        wanted = self._store.missing_copies(now)
         for router in wanted:
             await self._copy_from(router)
-        if wanted and not self._store.wanted_copies(self._clocks.now()):
+        if wanted and not self._store.missing_copies(self._clocks.now()):
             emit(logger, Event.KEYS_COPIED, members=len(wanted))
 
     async def _copy_from(self, router: RouterName) -> None:
@@ -262,7 +262,7 @@
             given = await self._reply(router, wanted)
             if not isinstance(given, KeyCopyGiven) or not given.ready:
                 return
-            self._store.take_copy(router, vms, given, self._clocks.now())
+            self._store.merge_copy(router, vms, given, self._clocks.now())
             if not given.more:
                 return
             after = given.last
--- a/packages/fulmarroad/src/fulmarroad/_keymemory.py
+++ b/packages/fulmarroad/src/fulmarroad/_keymemory.py
@@ -31,7 +31,7 @@
     return size // 2 + 1
 
 
-class VoteRight:
+class VotingEligibility:
     """Judge for each key whether this member knows what its group recorded.
 
     `basis` is the last VM list by which this member knows every key of its groups. A
--- a/packages/fulmarroad/src/fulmarroad/_keyrecords.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyrecords.py
@@ -88,7 +88,7 @@
         """Return the bytes of the answer that it keeps."""
         return answer_size(self.headers, self.body)
 
-    def told(self, reason: str = "") -> KeyRecorded:
+    def to_reply(self, reason: str = "") -> KeyRecorded:
         """Return the record as a reply."""
         return KeyRecorded(
             self.state.value,
@@ -119,7 +119,7 @@
         """Return a key's record."""
         return self._rows.get(name)
 
-    def has_room(self, workspace: WorkspaceName) -> bool:
+    def has_capacity(self, workspace: WorkspaceName) -> bool:
         """Tell whether a workspace may have one more record."""
         held = self._count[workspace]
         if len(self._rows) >= self.limits.max_total:
--- a/packages/fulmarroad/src/fulmarroad/_keys.py
+++ b/packages/fulmarroad/src/fulmarroad/_keys.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Collection
 
-from fulmarroad._keymemory import VoteRight
+from fulmarroad._keymemory import VotingEligibility
 from fulmarroad._keyrecords import (
     WEIGHT,
     KeyLimits,
@@ -54,7 +54,7 @@
         self._me = me
         self._data_centre = data_centre
         self._records = KeyRecords(limits)
-        self._right = VoteRight(me, limits.retention_s, now)
+        self._eligibility = VotingEligibility(me, limits.retention_s, now)
         self._first_fleet = first_fleet
 
     def __len__(self) -> int:
@@ -63,13 +63,13 @@
     @property
     def vms(self) -> frozenset[RouterName]:
         """Return the VMs of the data centre by which groups are formed."""
-        return self._right.vms
+        return self._eligibility.vms
 
     def set_vms(self, vms: Collection[RouterName], now: float) -> None:
         """Take the published VMs of this data centre over."""
-        self._right.set_vms(vms, now)
+        self._eligibility.set_vms(vms, now)
         if self._first_fleet and vms:
-            self._right.trust()
+            self._eligibility.trust()
             self._first_fleet = False
 
     def start(self, asked: KeyStart, now: float) -> KeyRecorded:
@@ -85,19 +85,19 @@
         self._records.expire(now)
         name = (asked.workspace, asked.key)
         known = self._records.get(name)
-        if known is None and not self._records.has_room(asked.workspace):
+        if known is None and not self._records.has_capacity(asked.workspace):
             return KeyRecorded(KeyState.UNABLE.value, reason=FULL)
         if asked.outcome == "not_run":
             record = _after_not_run(known, asked.attempt)
         else:
             record = _after_run(known, asked)
-        return self._records.put(name, record, now).told()
+        return self._records.put(name, record, now).to_reply()
 
-    def give_copy(self, asked: KeyCopyWanted, now: float) -> KeyCopyGiven:
+    def serve_copy(self, asked: KeyCopyWanted, now: float) -> KeyCopyGiven:
         """Give the records of the groups that the asker is in too."""
         self._records.expire(now)
-        basis = self._right.basis(now)
-        if basis is None or frozenset(asked.vms) != self._right.vms:
+        basis = self._eligibility.basis(now)
+        if basis is None or frozenset(asked.vms) != self._eligibility.vms:
             return KeyCopyGiven(False)
         rows = self._shared(asked)
         page = rows[: asked.limit]
@@ -107,7 +107,7 @@
             True, entries, last, len(rows) > len(page), tuple(sorted(basis))
         )
 
-    def take_copy(
+    def merge_copy(
         self,
         router: RouterName,
         vms: Collection[RouterName],
@@ -118,15 +118,15 @@
         for entry in given.entries:
             self._adopt(entry, now)
         if given.ready and not given.more:
-            self._right.note_copy(router, vms, frozenset(given.basis))
+            self._eligibility.note_copy(router, vms, frozenset(given.basis))
 
-    def wanted_copies(self, now: float) -> list[RouterName]:
+    def missing_copies(self, now: float) -> list[RouterName]:
         """Return the members whose records are still to be copied."""
-        return self._right.wanted(now)
+        return self._eligibility.wanted(now)
 
     def ready(self, workspace: str, key: str, now: float) -> bool:
         """Tell whether this member may vote on a key."""
-        return self._right.ready((workspace, key), now)
+        return self._eligibility.ready((workspace, key), now)
 
     def _vote(
         self,
@@ -143,38 +143,38 @@
         if known is not None and outweighs(known, (asked.fence, asked.attempt)):
             return self._told(known, now)
         record = Record(state, asked.attempt, asked.fence, asked.fingerprint)
-        return self._records.put(name, record, now).told()
+        return self._records.put(name, record, now).to_reply()
 
     def _refusal(
         self, name: KeyName, group: tuple[RouterName, ...], now: float
     ) -> KeyRecorded | None:
         self._records.expire(now)
         reason = ""
-        if set(group) != set(key_group(*name, self._right.vms)):
+        if set(group) != set(key_group(*name, self._eligibility.vms)):
             reason = OTHER_GROUP
-        elif not self._right.ready(name, now):
+        elif not self._eligibility.ready(name, now):
             reason = NO_MEMORY
-        elif not self._records.get(name) and not self._records.has_room(name[0]):
+        elif not self._records.get(name) and not self._records.has_capacity(name[0]):
             reason = FULL
         return KeyRecorded(KeyState.UNABLE.value, reason=reason) if reason else None
 
     def _told(self, record: Record, now: float) -> KeyRecorded:
         if record.state is not KeyState.STARTED:
-            return record.told()
+            return record.to_reply()
         if now - record.changed >= LONG_AGO_S:
-            return record.told(LONG_AGO)
-        return record.told(COPIED if record.copied else "")
+            return record.to_reply(LONG_AGO)
+        return record.to_reply(COPIED if record.copied else "")
 
     def _shared(self, asked: KeyCopyWanted) -> list[KeyName]:
         names = (name for name, _ in self._records.items())
         later = (name for name in names if _cursor(name) > asked.after)
-        vms = self._right.vms
+        vms = self._eligibility.vms
         return sorted(name for name in later if asked.asker in key_group(*name, vms))
 
     def _entry(self, name: KeyName, now: float) -> KeyEntry:
         record = self._records.get(name)
         assert record is not None
-        return KeyEntry(*name, now - record.changed, record.told())
+        return KeyEntry(*name, now - record.changed, record.to_reply())
 
     def _adopt(self, entry: KeyEntry, now: float) -> None:
         """Keep the weightier of two records: a start that one member saw may count."""
--- a/packages/fulmarroad/src/fulmarroad/_keyverdict.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyverdict.py
@@ -43,7 +43,7 @@
 
 
 @frozen
-class Outrun:
+class Superseded:
     """Another repeat holds a higher fence."""
 
     fence: int
@@ -70,7 +70,7 @@
     | Finished
     | InProgress
     | Unknown
-    | Outrun
+    | Superseded
     | Full
     | Mismatch
     | Unverifiable
@@ -119,7 +119,7 @@
         _centre_verdict(replies.get(centre, ()), size, ballot)
         for centre, size in sizes.items()
     ]
-    for kind in (InProgress, Unknown, Outrun, Full, Unverifiable):
+    for kind in (InProgress, Unknown, Superseded, Full, Unverifiable):
         for verdict in verdicts:
             if isinstance(verdict, kind):
                 return verdict
@@ -169,7 +169,7 @@
         if _is(reply, KeyState.FENCED) and reply.attempt != attempt
     ]
     if fences:
-        return Outrun(max(fences))
+        return Superseded(max(fences))
     if any(reply.reason == FULL for reply in replies):
         return Full()
     return Unverifiable()
--- a/packages/fulmarroad/src/fulmarroad/_leases.py
+++ b/packages/fulmarroad/src/fulmarroad/_leases.py
@@ -22,7 +22,7 @@
 
 
 def grant_valid(
-    grant: Grant, following: Epoch | None, clock: float, greeted: float = -math.inf
+    grant: Grant, following: Epoch | None, clock: float, hello_clock: float = -math.inf
 ) -> bool:
     """Tell whether a router may start a grant, by its own clock.
 
@@ -30,11 +30,11 @@
     would put requests onto units that its successor granted to others; they carry
     a former epoch, or a clock reading from before the pause, and are refused.
 
-    `greeted` is the clock in the hello that the router last sent. A grant from before
-    it reached the scheduler carries an older reading: the hello, which could not
+    `hello_clock` is the clock in the hello that the router last sent. A grant from
+    before it reached the scheduler carries an older reading: the hello, which could not
     mention it, has ended its lease there.
     """
-    if grant.epoch != following or grant.echo < greeted:
+    if grant.epoch != following or grant.echo < hello_clock:
         return False
     return clock < grant.echo + grant.start_within_s
 
@@ -48,7 +48,7 @@
     clock: float  # the router's own, as last heard
     heard_at: float  # when it read so, or earlier, on the scheduler's clock
 
-    def hear(self, clock: float, at: float) -> None:
+    def update_clock(self, clock: float, at: float) -> None:
         """Note a reading of the router's own clock; it never goes back."""
         if clock >= self.clock:
             self.clock = clock
--- a/packages/fulmarroad/src/fulmarroad/_members.py
+++ b/packages/fulmarroad/src/fulmarroad/_members.py
@@ -76,7 +76,7 @@
     cause: str
 
 
-def beats(update: MemberUpdate, known: MemberUpdate | Member) -> bool:
+def supersedes(update: MemberUpdate, known: MemberUpdate | Member) -> bool:
     """Tell whether news replaces what is known.
 
     The higher incarnation wins, which only the VM itself raises; so a dead verdict
@@ -107,7 +107,7 @@
     def merge(self, update: MemberUpdate, cause: str, now: float) -> Member | None:
         """Take news in; return the new belief, or None if nothing changed."""
         known = self.get(update.router)
-        if known is not None and not beats(update, known):
+        if known is not None and not supersedes(update, known):
             return None
         if not _is_usable(update, known):
             return None
--- a/packages/fulmarroad/src/fulmarroad/_beliefs.py
+++ b/packages/fulmarroad/src/fulmarroad/_membership_view.py
@@ -6,7 +6,7 @@
 
 from attrs import evolve
 
-from fulmarroad._members import Member, MemberChange, MemberTable, beats
+from fulmarroad._members import Member, MemberChange, MemberTable, supersedes
 from fulmarroad._messages import MemberUpdate
 from fulmarroad._piggyback import UpdateQueue
 from fulmarroad._suspicion import SuspicionClock
@@ -18,7 +18,7 @@
 _MAY_HOLD_ROLES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class Beliefs:
+class MembershipView:
     """Merge news, run the suspects' timers and refute what is said of this router."""
 
     def __init__(self, me: MemberUpdate, now: float) -> None:
@@ -96,7 +96,7 @@
             return vm.host, vm.gossip_port
         return (member.host, member.gossip_port) if member else None
 
-    def take_in(self, update: MemberUpdate, now: float, *, repeat: bool) -> None:
+    def merge_update(self, update: MemberUpdate, now: float, *, repeat: bool) -> None:
         """Merge news; `repeat` false keeps them from being spread further."""
         if update.router == self._me.router:
             self._defend(update)
@@ -105,7 +105,7 @@
         if member is not None:
             self._follow_up(member, now, repeat=repeat)
 
-    def judge(
+    def declare_state(
         self, router: RouterName, state: MemberState, cause: str, now: float
     ) -> None:
         """Change a belief by this router's own finding and spread it at once."""
@@ -146,11 +146,11 @@
             self.urgent |= member.state in (MemberState.DEAD, MemberState.LEAVING)
         self.clock.clear(member.router)
         if member.state is MemberState.SUSPECT:
-            self.clock.hear(member.router, self.count, now)
+            self.clock.record_reported_suspicion(member.router, self.count, now)
 
     def _defend(self, update: MemberUpdate) -> None:
         """Refute what is said of this router, or of its former life, if it counts."""
-        if beats(update, self._me):
+        if supersedes(update, self._me):
             self._set_me(self._me.state, update.incarnation + 1, "refuted")
 
     def _set_me(self, state: MemberState, incarnation: int, cause: str) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_pace.py
+++ b/packages/fulmarroad/src/fulmarroad/_pace.py
@@ -17,7 +17,7 @@
 """A request may be this much faster than the fastest one seen of late."""
 
 
-class Pace:
+class ServiceTimeEstimator:
     """Learn from answers how long requests of a shard take."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         return self._mean
 
     @property
-    def least_s(self) -> float:
+    def min_s(self) -> float:
         """Return the least plausible time of a request, 0 while unknown."""
         return self._least
 
--- a/packages/fulmarroad/src/fulmarroad/_packets.py
+++ b/packages/fulmarroad/src/fulmarroad/_packets.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-from fulmarroad._beliefs import Beliefs
+from fulmarroad._membership_view import MembershipView
 from fulmarroad._messages import (
     Ack,
     MembersGiven,
@@ -16,7 +16,7 @@
     Ping,
     PingRequest,
 )
-from fulmarroad._versions import VersionRumour
+from fulmarroad._versions import VersionTracker
 from fulmarroad.types import RouterName
 
 
@@ -30,14 +30,17 @@
     message: MembershipMessage
 
 
-class PacketMaker:
+class PacketBuilder:
     """Address messages; one to a router without a known address is left out."""
 
     def __init__(
-        self, beliefs: Beliefs, rumour: VersionRumour, rng: random.Random
+        self,
+        beliefs: MembershipView,
+        version_tracker: VersionTracker,
+        rng: random.Random,
     ) -> None:
-        self._beliefs = beliefs
-        self._rumour = rumour
+        self._view = beliefs
+        self._version_tracker = version_tracker
         self._rng = rng
         self._sequence = 0
 
@@ -48,7 +51,7 @@
 
     def some(self, count: int, without: RouterName = "") -> list[RouterName]:
         """Return some random members that are not dead."""
-        rows = sorted(self._beliefs.others() - {without})
+        rows = sorted(self._view.others() - {without})
         return self._rng.sample(rows, min(count, len(rows)))
 
     def push(self, count: int) -> list[Outgoing]:
@@ -57,13 +60,13 @@
 
     def ping(self, router: RouterName, sequence: int = 0) -> list[Outgoing]:
         """Probe a router."""
-        me = self._beliefs.me
+        me = self._view.me
         ping = Ping(
             sequence or self.next_sequence(),
             me.router,
             me.incarnation,
-            self._rumour.own,
-            self._beliefs.updates_for(router),
+            self._version_tracker.own,
+            self._view.updates_for(router),
             router,
         )
         return self._to(router, ping)
@@ -74,10 +77,10 @@
         """Ask a helper to probe a target."""
         request = PingRequest(
             sequence,
-            self._beliefs.me.router,
+            self._view.me.router,
             target,
-            self._rumour.own,
-            self._beliefs.updates_for(helper),
+            self._version_tracker.own,
+            self._view.updates_for(helper),
         )
         return self._to(helper, request)
 
@@ -87,28 +90,28 @@
         """Answer a probe, for oneself or for the target of a ping request."""
         ack = Ack(
             sequence,
-            self._beliefs.me.router,
+            self._view.me.router,
             target,
             incarnation,
-            self._rumour.own,
-            self._beliefs.updates_for(router),
+            self._version_tracker.own,
+            self._view.updates_for(router),
         )
         return self._to(router, ack)
 
-    def want_page(
+    def request_page(
         self, router: RouterName, after: RouterName, sequence: int
     ) -> list[Outgoing]:
         """Ask for a page of members."""
         wanted = MembersWanted(
             sequence,
-            self._beliefs.me.router,
-            self._rumour.own,
+            self._view.me.router,
+            self._version_tracker.own,
             after,
-            self._beliefs.updates_for(router),
+            self._view.updates_for(router),
         )
         return self._to(router, wanted)
 
-    def give_page(
+    def send_page(
         self,
         router: RouterName,
         sequence: int,
@@ -119,16 +122,16 @@
         """Give a page of members."""
         given = MembersGiven(
             sequence,
-            self._beliefs.me.router,
-            self._rumour.own,
-            (self._beliefs.me, *page),
+            self._view.me.router,
+            self._version_tracker.own,
+            (self._view.me, *page),
             last=page[-1].router if page else "",
             more=more,
         )
         return self._to(router, given)
 
     def _to(self, router: RouterName, message: MembershipMessage) -> list[Outgoing]:
-        address = self._beliefs.address(router)
+        address = self._view.address(router)
         if address is None:
             return []
         return [Outgoing(router, *address, message)]
--- a/packages/fulmarroad/src/fulmarroad/_policies.py
+++ b/packages/fulmarroad/src/fulmarroad/_policies.py
@@ -24,11 +24,11 @@
     """Decide which waiting demand is granted next, and count service."""
 
     @property
-    def spreads(self) -> bool:
+    def reports_totals(self) -> bool:
         """Tell whether totals and moves between shards apply to this policy."""
 
     @property
-    def usual_cost(self) -> float:
+    def mean_cost(self) -> float:
         """Return the mean cost of a request, 0 while it is not known."""
 
     def __len__(self) -> int: ...
@@ -75,12 +75,12 @@
     """Count no service across workspaces; share what baselines have in common."""
 
     @property
-    def spreads(self) -> bool:
+    def reports_totals(self) -> bool:
         """Tell that totals and moves between shards don't apply to a baseline."""
         return False
 
     @property
-    def usual_cost(self) -> float:
+    def mean_cost(self) -> float:
         """Return 0, for costs are not looked at."""
         return 0.0
 
@@ -154,14 +154,14 @@
         self._served: dict[RouterName, int] = {}
 
     @property
-    def spreads(self) -> bool:
+    def reports_totals(self) -> bool:
         """Tell that totals and moves between shards don't apply to a baseline."""
         return False
 
     @property
-    def usual_cost(self) -> float:
+    def mean_cost(self) -> float:
         """Return the mean cost of a request at any router."""
-        known = [q.usual_cost for q in self._queues.values() if q.usual_cost]
+        known = [q.mean_cost for q in self._queues.values() if q.mean_cost]
         return sum(known) / len(known) if known else 0.0
 
     def __len__(self) -> int:
--- a/packages/fulmarroad/src/fulmarroad/_probes.py
+++ b/packages/fulmarroad/src/fulmarroad/_probes.py
@@ -21,7 +21,7 @@
     target: RouterName
     sequence: int
     sent: float
-    helped: bool = False  # other members have been asked to probe it too
+    indirect_probe_sent: bool = False  # other members have been asked to probe it too
 
 
 class ProbeOrder:
--- a/packages/fulmarroad/src/fulmarroad/_questions.py
+++ b/packages/fulmarroad/src/fulmarroad/_questions.py
@@ -29,7 +29,7 @@
     port: int
 
 
-class PeerQuestions:
+class PeerClient:
     """Own the connections for questions."""
 
     def __init__(
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -178,7 +178,7 @@
         account: Account,
         levels: list[tuple[float, ShardId, PeerShard]],
     ) -> PeerShard | None:
-        threshold = MOVE_COSTS * queue.usual_cost / account.weight
+        threshold = MOVE_COSTS * queue.mean_cost / account.weight
         for level, _, peer in levels:
             if level <= account.counter + threshold:
                 return None
--- a/packages/fulmarroad/src/fulmarroad/_roles.py
+++ b/packages/fulmarroad/src/fulmarroad/_roles.py
@@ -112,12 +112,12 @@
             role.followers.discard(router)
         return self._after(role, role.scheduler.handle(router, message, now))
 
-    def absorb(self, report: m.ServiceReport, now: float) -> list[RoleOutput]:
+    def receive_report(self, report: m.ServiceReport, now: float) -> list[RoleOutput]:
         """Take another scheduler's report."""
         outputs: list[RoleOutput] = []
         for shard, role in list(self._roles.items()):
             if shard.pool == report.shard.pool and shard != report.shard:
-                outputs += self._after(role, role.scheduler.absorb(report, now))
+                outputs += self._after(role, role.scheduler.receive_report(report, now))
         return outputs
 
     def link_lost(self, router: RouterName, now: float) -> list[RoleOutput]:
--- a/packages/fulmarroad/src/fulmarroad/_running.py
+++ b/packages/fulmarroad/src/fulmarroad/_running.py
@@ -54,10 +54,12 @@
         """Drop a lease."""
         self._running.pop(lease_id, None)
 
-    def told(self, shard: ShardId, now: float) -> tuple[m.RunningLease, ...]:
+    def snapshot(self, shard: ShardId, now: float) -> tuple[m.RunningLease, ...]:
         """Return a shard's leases as a new scheduler gets them."""
         return tuple(
-            row.told(now) for row in self._running.values() if row.lease.shard == shard
+            row.snapshot(now)
+            for row in self._running.values()
+            if row.lease.shard == shard
         )
 
     def report(self, now: float) -> list[m.Progress]:
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -11,7 +11,7 @@
 import heapq
 from collections.abc import Collection, Sequence
 
-from fulmarroad._fairqueue import FleetQueue, sane
+from fulmarroad._fairqueue import FleetQueue, sanitize
 from fulmarroad._granting import Granting, Send
 from fulmarroad._leases import Follower, grant_valid
 from fulmarroad._messages import (
@@ -34,7 +34,7 @@
 from fulmarroad._policies import SchedulingPolicy
 from fulmarroad._shares import LENDING_TERM_S
 from fulmarroad._slots import ServerBook
-from fulmarroad._spreading import Spreading
+from fulmarroad._spreading import PoolReporter
 from fulmarroad._tables import BackendServer, Pool
 from fulmarroad._warmth import WarmthChange
 from fulmarroad.types import Epoch, RefusalReason, RouterName, ServerName, ShardId
@@ -89,10 +89,12 @@
         self._deadlines: list[tuple[float, str]] = []
         self._beat_at = now
         self._forget_at = now + FORGET_INTERVAL_S
-        self._spreading: Spreading | None = None
+        self._pool_reporter: PoolReporter | None = None
         if isinstance(queue, FleetQueue):
-            pace = self._granting.pace
-            self._spreading = Spreading(shard, epoch, book, queue, pace, now)
+            service_times = self._granting.service_times
+            self._pool_reporter = PoolReporter(
+                shard, epoch, book, queue, service_times, now
+            )
 
     @property
     def shard(self) -> ShardId:
@@ -134,11 +136,11 @@
         out = self._take(router, message, now)
         return out + self._grant(now)
 
-    def absorb(self, report: ServiceReport, now: float) -> list[Send]:
+    def receive_report(self, report: ServiceReport, now: float) -> list[Send]:
         """Count what another scheduler of the pool served; move demands if due."""
-        if self._stepped_down or self._spreading is None:
+        if self._stepped_down or self._pool_reporter is None:
             return []
-        self._spreading.absorb(report, now)
+        self._pool_reporter.receive_report(report, now)
         return self._grant(now) + self._moves(now)
 
     def link_lost(self, router: RouterName, now: float) -> list[Send]:
@@ -166,8 +168,8 @@
 
     def set_peers(self, peers: int) -> None:
         """Take how many other schedulers of the pool each report goes to."""
-        if self._spreading is not None:
-            self._spreading.set_peers(peers)
+        if self._pool_reporter is not None:
+            self._pool_reporter.set_peers(peers)
 
     def set_tables(
         self,
@@ -178,8 +180,8 @@
     ) -> list[Send]:
         """Take a change of the tables; a shard that takes no work hands demands on."""
         self._granting.note_changes(self._book.set_servers(pool, servers, taking, now))
-        if self._spreading is not None:
-            self._spreading.set_draining(not taking)
+        if self._pool_reporter is not None:
+            self._pool_reporter.set_draining(not taking)
         return self._grant(now) + self._moves(now)
 
     def tick(self, now: float) -> list[Send]:
@@ -201,9 +203,9 @@
 
     def report(self, now: float) -> ServiceReport | None:
         """Return the totals to spread now, or none while nothing is due."""
-        if self._stepped_down or self._spreading is None:
+        if self._stepped_down or self._pool_reporter is None:
             return None
-        return self._spreading.report(now)
+        return self._pool_reporter.report(now)
 
     def step_down(self, now: float) -> list[Send]:
         """Give the role up; nothing is granted from here on."""
@@ -267,10 +269,10 @@
     def _demand(self, router: RouterName, demand: Demand, now: float) -> list[Send]:
         if self._granting.leases.runs(demand.demand_id):
             return []
-        if sane(demand.remaining_s) <= self._granting.pace.least_s:
+        if sanitize(demand.remaining_s) <= self._granting.service_times.min_s:
             return [self._refusal(router, demand.demand_id, now)]
         if self._queue.add(demand, router, now):
-            self._watch(now + sane(demand.remaining_s), demand.demand_id)
+            self._watch(now + sanitize(demand.remaining_s), demand.demand_id)
         return []
 
     def _lend(self, follower: Follower, lend: Lend, now: float) -> None:
@@ -282,7 +284,7 @@
         """
         if lend.epoch != self._epoch or not lend.echo <= now:
             return
-        follower.hear(lend.clock, lend.echo)
+        follower.update_clock(lend.clock, lend.echo)
         if lend.echo + LENDING_TERM_S > now:
             self._book.lend(follower.router, lend.echo + LENDING_TERM_S, now)
         for waiting in self._granting.reclaim(follower, now):
@@ -342,10 +344,10 @@
             self._settled = all_heard or now - self._began >= SETTLE_S
 
     def _moves(self, now: float) -> list[Send]:
-        if self._spreading is None or not self._settled:
+        if self._pool_reporter is None or not self._settled:
             return []
         out = []
-        for move in self._spreading.moves(now):
+        for move in self._pool_reporter.moves(now):
             waiting = self._queue.remove(move.demand_id)
             if waiting is not None:
                 message = Move(self._shard, self._epoch, move.demand_id, move.target)
@@ -362,7 +364,7 @@
         waits for, or cost their caller the time to ask elsewhere.
         """
         out = []
-        horizon = now + self._granting.pace.least_s
+        horizon = now + self._granting.service_times.min_s
         while self._deadlines and self._deadlines[0][0] <= horizon:
             _, demand_id = heapq.heappop(self._deadlines)
             waiting = self._queue.get(demand_id)
@@ -394,9 +396,9 @@
 
     def _wait_s(self, now: float) -> float:
         units = self._book.capacity(now)
-        return self._granting.pace.wait_s(self._queue.ahead(), units)
+        return self._granting.service_times.wait_s(self._queue.ahead(), units)
 
     def _forget(self, now: float) -> None:
         self._queue.forget_idle(now)
-        if self._spreading is not None:
-            self._spreading.forget(now)
+        if self._pool_reporter is not None:
+            self._pool_reporter.forget(now)
--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -9,7 +9,7 @@
 
 A lease outlives the lending under which it was granted, so a unit that changes sides
 can run twice for one lease's length. A warm server bears that; one that is not warm
-may not, so its units ask for more (`Shares.careful`).
+may not, so its units ask for more (`Shares.exclusive_units`).
 """
 
 from __future__ import annotations
@@ -144,7 +144,7 @@
         owners = self._owners_of(server, limit)
         return [index for index in range(limit) if owners[index] in ripe]
 
-    def careful(self, server: ServerName, limit: int, now: float) -> list[int]:
+    def exclusive_units(self, server: ServerName, limit: int, now: float) -> list[int]:
         """Return the units below a limit that no other scheduler can be using.
 
         A lending is seasoned when every lease granted elsewhere under a former one has
--- a/packages/fulmarroad/src/fulmarroad/_slots.py
+++ b/packages/fulmarroad/src/fulmarroad/_slots.py
@@ -11,7 +11,7 @@
 
 from attrs import define, evolve, field, frozen
 
-from fulmarroad._concurrency import ConcurrencyLimit, in_full_use
+from fulmarroad._concurrency import ConcurrencyLimit, is_fully_used
 from fulmarroad._messages import RunningLease, ServerHint, ServerStatus
 from fulmarroad._rendezvous import unit_owner
 from fulmarroad._shares import LONGEST_LEASE_S, Owner, Shares
@@ -127,7 +127,7 @@
             known.health.set_pool(pool)
             takes_work = name in taking
             if takes_work and not known.takes_work:
-                changes += known.health.chill("taken into service")
+                changes += known.health.reset_to_cold("taken into service")
             known.takes_work = takes_work
             known.forget()
         self._drop_servers({server.name for server in servers})
@@ -225,7 +225,7 @@
             return ()  # it was counted when it had got far enough
         usable = len(self._refresh(server, known, now))
         before = (known.health.warmth, known.health.limit(now), known.taken_up)
-        full = in_full_use(known.running, usable)
+        full = is_fully_used(known.running, usable)
         changes = known.health.observe(
             outcome,
             first_s,
@@ -367,7 +367,7 @@
     ) -> list[int]:
         if server.health.warmth is not Warmth.WARM:
             server.taken_up = 0
-            return self._shares.careful(name, limit, now)
+            return self._shares.exclusive_units(name, limit, now)
         lost = self._shares.lost(name, limit, now)
         server.taken_up = min(server.taken_up, len(lost))
         lent = self._shares.lent(name, limit, now)
--- a/packages/fulmarroad/src/fulmarroad/_spreading.py
+++ b/packages/fulmarroad/src/fulmarroad/_spreading.py
@@ -4,7 +4,7 @@
 
 from fulmarroad._fairqueue import FleetQueue
 from fulmarroad._messages import ServiceReport
-from fulmarroad._pace import Pace
+from fulmarroad._pace import ServiceTimeEstimator
 from fulmarroad._rebalance import Handover, Rebalancer
 from fulmarroad._slots import ServerBook
 from fulmarroad._totals import (
@@ -12,8 +12,8 @@
     CONTROL_BYTES_S,
     ENTRY_BYTES,
     IDLE_INTERVAL_S,
-    LEAST_INTERVAL_S,
     MAX_ENTRIES,
+    MIN_INTERVAL_S,
     REPORT_BYTES,
     Totals,
     report_size,
@@ -21,7 +21,7 @@
 from fulmarroad.types import Epoch, ShardId
 
 
-class Spreading:
+class PoolReporter:
     """Tell the pool's other schedulers how this shard stands, and act on theirs."""
 
     def __init__(
@@ -30,14 +30,14 @@
         epoch: Epoch,
         book: ServerBook,
         queue: FleetQueue,
-        pace: Pace,
+        service_times: ServiceTimeEstimator,
         now: float,
     ) -> None:
         self._shard = shard
         self._epoch = epoch
         self._book = book
         self._queue = queue
-        self._pace = pace
+        self._service_times = service_times
         self._totals = Totals(shard, epoch, queue)
         self._rebalancer = Rebalancer(shard)
         self._peers: int | None = None
@@ -56,14 +56,14 @@
         """Take whether the shard has no backend server that takes work."""
         self._draining = draining
 
-    def absorb(self, report: ServiceReport, now: float) -> None:
+    def receive_report(self, report: ServiceReport, now: float) -> None:
         """Count a report; only the newest of an epoch tells how its shard stands.
 
         A scheduler that is heard for the first time has no memory: it is told soon.
         """
         self._greets = self._greets or not self._totals.knows(report.epoch)
-        if self._totals.absorb(report, now):
-            self._rebalancer.note(report, self._pace.mean_s, now)
+        if self._totals.receive_report(report, now):
+            self._rebalancer.note(report, self._service_times.mean_s, now)
 
     def moves(self, now: float) -> list[Handover]:
         """Return the waiting demands that other shards are to have."""
@@ -74,7 +74,7 @@
         return self._rebalancer.plan(
             self._queue,
             units=self._book.capacity(now),
-            mean_s=self._pace.mean_s,
+            mean_s=self._service_times.mean_s,
             now=now,
         )
 
@@ -118,17 +118,21 @@
 
     def _reached(self, now: float) -> int:
         """Return how many schedulers a report goes to."""
-        return self._totals.heard(now) if self._peers is None else self._peers
+        return (
+            self._totals.active_peer_count(now) if self._peers is None else self._peers
+        )
 
     def _due(self, now: float) -> bool:
         elapsed = now - self._told_at
         if elapsed >= IDLE_INTERVAL_S:
             return True
-        if elapsed < LEAST_INTERVAL_S or not self._reached(now):
+        if elapsed < MIN_INTERVAL_S or not self._reached(now):
             return False
-        news = self._totals.news(now)
-        if self._credit < min(BURST_BYTES, self._reached(now) * report_size(news)):
+        pending_entries = self._totals.pending_entries(now)
+        if self._credit < min(
+            BURST_BYTES, self._reached(now) * report_size(pending_entries)
+        ):
             return False
-        if news or self._greets:
+        if pending_entries or self._greets:
             return True
         return self._rebalancer.wanted_elsewhere(now) and bool(self._book.free(now))
--- a/packages/fulmarroad/src/fulmarroad/_suspicion.py
+++ b/packages/fulmarroad/src/fulmarroad/_suspicion.py
@@ -52,11 +52,11 @@
         self._ticked = now
         self._doubt_until = now
 
-    def doubting(self, now: float) -> bool:
+    def recovering_from_pause(self, now: float) -> bool:
         """Tell whether this router has just woken from a pause."""
         return now < self._doubt_until
 
-    def wake(self, now: float, members: int) -> bool:
+    def detect_pause(self, now: float, members: int) -> bool:
         """Note a tick; tell whether it ends a pause, and if so grant all a new term."""
         gap = now - self._ticked
         self._ticked = now
@@ -67,12 +67,16 @@
             self._deadlines[router] = now + HEARSAY_FACTOR * suspicion_s(members)
         return True
 
-    def hear(self, router: RouterName, members: int, now: float) -> None:
+    def record_reported_suspicion(
+        self, router: RouterName, members: int, now: float
+    ) -> None:
         """Give a suspect its time to refute what others say."""
         end = now + HEARSAY_FACTOR * suspicion_s(members)
         self._deadlines.setdefault(router, end)
 
-    def accuse(self, router: RouterName, members: int, now: float) -> None:
+    def record_own_suspicion(
+        self, router: RouterName, members: int, now: float
+    ) -> None:
         """Give a suspect its time to refute what this router found itself."""
         if router in self._accused:
             return
@@ -85,9 +89,9 @@
         self._deadlines.pop(router, None)
         self._accused.pop(router, None)
 
-    def run_out(self, now: float) -> list[RouterName]:
+    def expired_suspects(self, now: float) -> list[RouterName]:
         """Return the suspects that did not refute in time."""
-        if self.doubting(now):
+        if self.recovering_from_pause(now):
             return []
         return [router for router, end in self._deadlines.items() if now >= end]
 
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -10,8 +10,8 @@
 import random
 from collections.abc import Collection, Mapping
 
-from fulmarroad._beliefs import Beliefs
 from fulmarroad._members import Member, MemberChange
+from fulmarroad._membership_view import MembershipView
 from fulmarroad._messages import (
     Ack,
     MembersGiven,
@@ -21,10 +21,10 @@
     Ping,
     PingRequest,
 )
-from fulmarroad._packets import Outgoing, PacketMaker
-from fulmarroad._pages import PageWalk
+from fulmarroad._packets import Outgoing, PacketBuilder
+from fulmarroad._pages import MemberPageSync
 from fulmarroad._probes import Probe, ProbeOrder, Relays
-from fulmarroad._versions import VersionRumour
+from fulmarroad._versions import VersionTracker
 from fulmarroad._vmlist import VmEntry, VmList
 from fulmarroad.types import DataCentreName, MemberState, RouterName
 
@@ -72,11 +72,11 @@
 
     def __init__(self, me: MemberUpdate, *, seed: int, now: float) -> None:
         self._rng = random.Random(f"{seed} {me.router}")
-        self._beliefs = Beliefs(me, now)
-        self._clock = self._beliefs.clock
-        self._rumour = VersionRumour()
-        self._packets = PacketMaker(self._beliefs, self._rumour, self._rng)
-        self._pages = PageWalk(self._beliefs, self._packets, now)
+        self._view = MembershipView(me, now)
+        self._clock = self._view.clock
+        self._version_tracker = VersionTracker()
+        self._packets = PacketBuilder(self._view, self._version_tracker, self._rng)
+        self._pages = MemberPageSync(self._view, self._packets, now)
         self._order = ProbeOrder(self._rng)
         self._lost_order = ProbeOrder(self._rng)
         self._relays = Relays()
@@ -89,64 +89,64 @@
     @property
     def me(self) -> MemberUpdate:
         """Return what this router says of itself."""
-        return self._beliefs.me
+        return self._view.me
 
     @property
     def vm_list(self) -> VmList:
         """Return the VM list in force, by which units and key groups go."""
-        return self._beliefs.vm_list
+        return self._view.vm_list
 
     @property
     def table_version(self) -> int:
         """Return the table version that this router says is in force here."""
-        return self._rumour.own
+        return self._version_tracker.own
 
     def members(self) -> Mapping[RouterName, Member]:
         """Return all that is believed of the other VMs, dead ones included."""
-        return self._beliefs.table.members
+        return self._view.table.members
 
     def live(self, data_centre: DataCentreName | None = None) -> tuple[RouterName, ...]:
         """Return the VMs that may hold roles: alive or suspect, not leaving.
 
         This router is one of them, unless it leaves.
         """
-        return self._beliefs.live(data_centre)
+        return self._view.live(data_centre)
 
     def changes(self) -> list[MemberChange]:
         """Return the changes of belief since last asked."""
-        return self._beliefs.table.changes()
+        return self._view.table.changes()
 
-    def doubting(self, now: float) -> bool:
+    def recovering_from_pause(self, now: float) -> bool:
         """Tell whether this process has just not run for a while."""
-        return self._clock.doubting(now)
+        return self._clock.recovering_from_pause(now)
 
     def joined(self, now: float) -> bool:
         """Tell whether the members are known, or nobody answers."""
         if self._pages.complete:
             return True
-        return not self._beliefs.others() and now - self._started >= JOIN_WAIT_S
+        return not self._view.others() and now - self._started >= JOIN_WAIT_S
 
-    def highest_version_heard(self) -> tuple[int, RouterName]:
+    def highest_reported_version(self) -> tuple[int, RouterName]:
         """Return the highest table version in force at another router, and which.
 
         Return `(0, "")` if nobody was heard.
         """
-        return self._rumour.highest(self._beliefs.is_reachable)
+        return self._version_tracker.highest(self._view.is_reachable)
 
     def versions(self) -> Mapping[RouterName, int]:
         """Return the table version last heard of each router; it lags."""
-        return self._rumour.versions
+        return self._version_tracker.versions
 
     def hint(self, vms: Collection[VmEntry], now: float) -> list[Outgoing]:
         """Take the VM list in as a hint whom to probe."""
-        changed = self._beliefs.vm_list.offer(vms)
-        if not changed or self._beliefs.others():
+        changed = self._view.vm_list.offer(vms)
+        if not changed or self._view.others():
             return []
         return self._probe_lost(FANOUT)
 
     def announce_version(self, version: int, now: float) -> list[Outgoing]:
         """Tell some members at once that a higher table version is in force here."""
-        if not self._rumour.raise_own(version):
+        if not self._version_tracker.raise_own(version):
             return []
         # Each router that takes the version on does the same, and ordinary probes reach
         # the few that are left out; more rounds of this were no faster among 370.
@@ -160,13 +160,13 @@
 
     def leave(self, now: float) -> list[Outgoing]:
         """Say that this router goes; it gets no new role from then on."""
-        if not self._beliefs.leave():
+        if not self._view.leave():
             return []
         return self._packets.push(2 * FANOUT)
 
     def tick(self, now: float) -> list[Outgoing]:
         """Return what is due now."""
-        if self._clock.wake(now, self._beliefs.count):
+        if self._clock.detect_pause(now, self._view.count):
             self._start_again(now)
         out = self._watch_probe(now)
         out += self._watch_suspects(now)
@@ -185,8 +185,8 @@
             return []  # this VM was given the address of one that is gone
         repeat = not isinstance(message, MembersGiven)
         for update in message.updates:
-            self._beliefs.take_in(update, now, repeat=repeat)
-        self._rumour.heard(message.sender, message.table_version)
+            self._view.merge_update(update, now, repeat=repeat)
+        self._version_tracker.record_version(message.sender, message.table_version)
         return self._reply(message, now)
 
     def _reply(self, message: MembershipMessage, now: float) -> list[Outgoing]:
@@ -201,22 +201,22 @@
             case Ack():
                 return self._answered(message)
             case MembersWanted():
-                return self._pages.give(message)
+                return self._pages.serve_page(message)
             case MembersGiven():
-                return self._pages.take(message, now)
+                return self._pages.receive_page(message, now)
 
     def _start_again(self, now: float) -> None:
         """Judge nothing by what was open before a pause, and ask what happened."""
         self._probe = None
-        self._beliefs.start_again()
+        self._view.start_again()
         self._pages.begin(now)
 
     def _begin_period(self, now: float) -> list[Outgoing]:
         self._next_period = now + PERIOD_S * self._rng.uniform(0.9, 1.1)
         self._relays.expire(now)
-        for router in self._beliefs.table.forget(now):
-            self._rumour.forget(router)
-        others = self._beliefs.others()
+        for router in self._view.table.forget(now):
+            self._version_tracker.forget(router)
+        others = self._view.others()
         target = self._order.next(others)
         if target is not None and not self._out_of_turn:
             self._out_of_turn.append(target)
@@ -226,7 +226,7 @@
         if self._probe is not None or not self._out_of_turn:
             return []
         target = self._out_of_turn.pop(0)
-        if not self._beliefs.is_reachable(target):
+        if not self._view.is_reachable(target):
             return []
         self._probe = Probe(target, self._packets.next_sequence(), now)
         return self._packets.ping(target, self._probe.sequence)
@@ -239,8 +239,8 @@
         if waited >= VERDICT_S:
             self._probe = None
             self._accuse(probe.target, now)
-        elif waited >= PROBE_TIMEOUT_S and not probe.helped:
-            probe.helped = True
+        elif waited >= PROBE_TIMEOUT_S and not probe.indirect_probe_sent:
+            probe.indirect_probe_sent = True
             return self._ask_helpers(probe)
         return []
 
@@ -251,20 +251,20 @@
         return out
 
     def _accuse(self, router: RouterName, now: float) -> None:
-        member = self._beliefs.get(router)
-        if member is None or self._clock.doubting(now):
+        member = self._view.get(router)
+        if member is None or self._clock.recovering_from_pause(now):
             return
         if member.state is MemberState.ALIVE:
             cause = "no answer to probes"
-            self._beliefs.judge(router, MemberState.SUSPECT, cause, now)
+            self._view.declare_state(router, MemberState.SUSPECT, cause, now)
         if member.state is not MemberState.DEAD:
             # A leaving one keeps its state, or it could get roles again.
-            self._clock.accuse(router, self._beliefs.count, now)
+            self._clock.record_own_suspicion(router, self._view.count, now)
 
     def _watch_suspects(self, now: float) -> list[Outgoing]:
-        for router in self._clock.run_out(now):
+        for router in self._clock.expired_suspects(now):
             cause = "suspicion not refuted"
-            self._beliefs.judge(router, MemberState.DEAD, cause, now)
+            self._view.declare_state(router, MemberState.DEAD, cause, now)
         reminded = self._clock.reminders(now)
         return [row for router in reminded for row in self._packets.ping(router)]
 
@@ -273,7 +273,7 @@
 
         Without it two halves that counted each other dead would never meet again.
         """
-        lost = self._beliefs.lost()
+        lost = self._view.lost()
         chosen = dict.fromkeys(self._lost_order.next(lost) for _ in range(count))
         return [
             row for router in chosen if router for row in self._packets.ping(router)
@@ -288,7 +288,7 @@
         probe = self._probe
         if probe and (probe.sequence, probe.target) == (ack.sequence, ack.target):
             self._probe = None
-        member = self._beliefs.get(ack.target)
+        member = self._view.get(ack.target)
         if member is not None and member.state is MemberState.LEAVING:
             self._clock.clear(ack.target)  # no refutation is due that would do it
         request = self._relays.answered(ack.sequence)
@@ -299,8 +299,8 @@
         )
 
     def _push(self, now: float) -> list[Outgoing]:
-        if not self._beliefs.urgent or now - self._pushed < PUSH_GAP_S:
+        if not self._view.urgent or now - self._pushed < PUSH_GAP_S:
             return []
         self._pushed = now
-        self._beliefs.urgent = False
+        self._view.urgent = False
         return self._packets.push(FANOUT)
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -41,7 +41,7 @@
 """The least served are always told of: whom a shard serves next decides what others
 send to it."""
 
-LEAST_INTERVAL_S = 0.1
+MIN_INTERVAL_S = 0.1
 """Reports are no closer than this: below it the gap is ruled by request cost."""
 
 IDLE_INTERVAL_S = 2.0
@@ -100,7 +100,7 @@
 
 def spread_interval(peers: int, entries: int) -> float:
     """Return the mean seconds between reports that the control budget allows."""
-    return max(LEAST_INTERVAL_S, peers * report_size(entries) / CONTROL_BYTES_S)
+    return max(MIN_INTERVAL_S, peers * report_size(entries) / CONTROL_BYTES_S)
 
 
 def gap_bound(
@@ -112,7 +112,7 @@
     delay_s: float,
     largest_cost: float,
     estimate_error: float,
-    least_weight: float = 1.0,
+    min_weight: float = 1.0,
 ) -> float:
     """Return the largest gap in weighted service between two backlogged workspaces.
 
@@ -137,10 +137,10 @@
     """
     grants = 2 * largest_cost + 2 * units * (largest_cost + estimate_error)
     if shards <= 1:
-        return grants / least_weight
+        return grants / min_weight
     untold = 4 * rate * (interval_s + delay_s)
     moves = (units + MOVE_COSTS) * largest_cost
-    return (grants + untold + moves) / least_weight
+    return (grants + untold + moves) / min_weight
 
 
 def _is_sane(entry: ServiceEntry) -> bool:
@@ -165,7 +165,7 @@
         """Tell whether a scheduler was heard before, or is this one."""
         return epoch in self._peers or epoch == self._epoch
 
-    def absorb(self, report: ServiceReport, now: float) -> bool:
+    def receive_report(self, report: ServiceReport, now: float) -> bool:
         """Count a report; return false for one's own, or one that is not the newest."""
         if report.epoch == self._epoch:
             return False
@@ -184,7 +184,7 @@
         peer.sequence = max(peer.sequence, report.sequence)
         return newest
 
-    def heard(self, now: float) -> int:
+    def active_peer_count(self, now: float) -> int:
         """Return how many schedulers were heard of lately."""
         return sum(1 for peer in self._peers.values() if now - peer.at < ACTIVE_S)
 
@@ -209,7 +209,7 @@
             for account in told
         )
 
-    def news(self, now: float) -> int:
+    def pending_entries(self, now: float) -> int:
         """Return how many workspaces the next report would tell of."""
         return self._queue.ahead() + len(self._served_for_others(now))
 
@@ -231,7 +231,7 @@
 
     def _served_for_others(self, now: float) -> list[Account]:
         rows = []
-        for account in self._queue.elsewhere(now):
+        for account in self._queue.backlogged_elsewhere(now):
             told = self._told.get(account.name)
             if account.served != (told.served if told else 0.0):
                 rows.append(account)
@@ -274,7 +274,7 @@
             return
         account = self._queue.account(entry.workspace)
         if entry.waiting and not account.active(now):
-            account.lift(self._queue.reference(now), now)
+            account.reset_to_floor(self._queue.reference(now), now)
         if entry.waiting and not account.seeded and _is_young(account, now):
             self._queue.seed(account, base + entry.lag)
         elif heard is not None and heard.era == account.era:
--- a/packages/fulmarroad/src/fulmarroad/_versions.py
+++ b/packages/fulmarroad/src/fulmarroad/_versions.py
@@ -8,7 +8,7 @@
 from fulmarroad.types import RouterName
 
 
-class VersionRumour:
+class VersionTracker:
     """Keep the version in force here and those heard of others.
 
     A packet carries the version that its sender has in force and not the highest that
@@ -37,7 +37,7 @@
         self._own = version
         return True
 
-    def heard(self, router: RouterName, version: int) -> None:
+    def record_version(self, router: RouterName, version: int) -> None:
         """Note what a router has in force; a restarted one may fall back to 0."""
         self._heard[router] = version
         if self._best == router or version > self._heard.get(self._best or "", -1):
--- a/packages/fulmarroad/src/fulmarroad/_waiting.py
+++ b/packages/fulmarroad/src/fulmarroad/_waiting.py
@@ -43,7 +43,7 @@
         waiting = self._rows.get(demand_id)
         return waiting if waiting is not None and waiting.shard == shard else None
 
-    def told(self, shard: ShardId, now: float) -> tuple[m.Demand, ...]:
+    def snapshot(self, shard: ShardId, now: float) -> tuple[m.Demand, ...]:
         """Return the demands of a shard as its scheduler gets them now."""
         return tuple(row.demand(now) for row in self if row.shard == shard)
 
--- a/packages/fulmarroad/src/fulmarroad/_warmth.py
+++ b/packages/fulmarroad/src/fulmarroad/_warmth.py
@@ -21,7 +21,7 @@
     ConcurrencyLimit,
     Round,
     followed,
-    strain,
+    latency_ratio,
 )
 from fulmarroad._messages import ServerHint
 from fulmarroad._tables import Pool
@@ -204,7 +204,7 @@
             return self._probe_at
         return math.inf
 
-    def chill(self, cause: str) -> tuple[WarmthChange, ...]:
+    def reset_to_cold(self, cause: str) -> tuple[WarmthChange, ...]:
         """Begin the ramp anew, for the server returned or what it was is unknown."""
         self._seen = False
         self._hinted_at = -math.inf
@@ -243,7 +243,7 @@
         """
         if outcome in (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
             return self._on_failure(outcome, running, now)
-        load = strain(self.pool, first_s, gap_s)
+        load = latency_ratio(self.pool, first_s, gap_s)
         if outcome is Outcome.DECLINED or load is None:
             return self._on_unmeasured(outcome, now)
         self._seen = True
--- a/packages/fulmarroad/src/fulmarroad/coordination.py
+++ b/packages/fulmarroad/src/fulmarroad/coordination.py
@@ -6,11 +6,11 @@
     NoteFinished,
     NoteProgress,
     NoteStarted,
+    SetMembers,
+    SetTables,
+    SetVms,
     StepDownAll,
     Submit,
-    TakeMembers,
-    TakeTables,
-    TakeVms,
 )
 from fulmarroad._coordinator import Coordinator
 from fulmarroad._follower import Follower
@@ -24,7 +24,7 @@
     Rejected,
     SendTo,
 )
-from fulmarroad._questions import PeerAddress, PeerQuestions
+from fulmarroad._questions import PeerAddress, PeerClient
 from fulmarroad._roles import RoleOutput, Roles, ToFollower, ToSchedulers
 
 __all__ = [
@@ -42,16 +42,16 @@
     "NoteProgress",
     "NoteStarted",
     "PeerAddress",
-    "PeerQuestions",
+    "PeerClient",
     "Rejected",
     "RoleOutput",
     "Roles",
     "SendTo",
     "StepDownAll",
     "Submit",
-    "TakeMembers",
-    "TakeTables",
-    "TakeVms",
+    "SetMembers",
+    "SetTables",
+    "SetVms",
     "ToFollower",
     "ToSchedulers",
 ]
--- a/packages/fulmarroad/src/fulmarroad/datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/datagrams.py
@@ -1,5 +1,5 @@
 """Packets between routers, over UDP."""
 
-from fulmarroad._datagrams import MOST_A_TURN, PacketSocket
+from fulmarroad._datagrams import MAX_PACKETS_PER_TURN, PacketSocket
 
-__all__ = ["MOST_A_TURN", "PacketSocket"]
+__all__ = ["MAX_PACKETS_PER_TURN", "PacketSocket"]
--- a/packages/fulmarroad/src/fulmarroad/keys.py
+++ b/packages/fulmarroad/src/fulmarroad/keys.py
@@ -14,7 +14,7 @@
     Replay,
     SendOnce,
 )
-from fulmarroad._keymemory import VoteRight
+from fulmarroad._keymemory import VotingEligibility
 from fulmarroad._keyrecords import MAX_BODY_BYTES, KeyLimits, KeyRecords, KeyState
 from fulmarroad._keys import KeyStore
 from fulmarroad._keyverdict import (
@@ -23,8 +23,8 @@
     Full,
     InProgress,
     Mismatch,
-    Outrun,
     Started,
+    Superseded,
     Unknown,
     Unverifiable,
     decide_fence,
@@ -52,13 +52,13 @@
     "KeyState",
     "KeyStore",
     "Mismatch",
-    "Outrun",
+    "Superseded",
     "Replay",
     "SendOnce",
     "Started",
     "Unknown",
     "Unverifiable",
-    "VoteRight",
+    "VotingEligibility",
     "decide_fence",
     "decide_start",
 ]
--- a/packages/fulmarroad/src/fulmarroad/membership.py
+++ b/packages/fulmarroad/src/fulmarroad/membership.py
@@ -1,6 +1,6 @@
 """Who is in the fleet: probes, gossip, and the VM list as a hint."""
 
-from fulmarroad._gossip import Gossip, PacketSeal, VersionHeard
+from fulmarroad._gossip import Gossip, HigherVersionReported, PacketSeal
 from fulmarroad._members import Member, MemberChange
 from fulmarroad._packets import Outgoing
 from fulmarroad._piggyback import PACKET_BYTES
@@ -16,7 +16,7 @@
     "Outgoing",
     "PacketSeal",
     "Swim",
-    "VersionHeard",
+    "HigherVersionReported",
     "VmEntry",
     "VmList",
 ]
--- a/packages/fulmarroad/tests/conftest.py
+++ b/packages/fulmarroad/tests/conftest.py
@@ -22,9 +22,9 @@
     NoteStarted,
     PeerAddress,
     Roles,
-    TakeMembers,
-    TakeTables,
-    TakeVms,
+    SetMembers,
+    SetTables,
+    SetVms,
 )
 from fulmarroad.tables import BackendServer, DataCentre, Pool, ServiceState, Tables
 from fulmarroad.testing import MemoryNetwork, run_virtual
@@ -42,7 +42,7 @@
     name: str
     batch: int = 4
     running: int = 0
-    most_running: int = 0
+    peak_running: int = 0
     over: list = field(factory=list)
     starts: list = field(factory=list)
     service: dict = field(factory=dict)
@@ -143,9 +143,9 @@
         self.out = set(out)
         for name in to or self.routers:
             self.routers[name].tables = self.tables()
-            self.routers[name].coordinator.tell(TakeTables(self.tables()))
+            self.routers[name].coordinator.send_command(SetTables(self.tables()))
 
-    def tell_members(self, seen=None):
+    def set_members(self, seen=None):
         """Let routers believe that these live; `seen` maps a router to its view."""
         for router in self.routers.values():
             names = (seen or {}).get(router.name, self.routers)
@@ -156,9 +156,9 @@
                 for centre in self.centres
             }
             addresses = {n: PeerAddress("127.0.0.1", 1) for n in names}
-            router.coordinator.tell(TakeMembers(live, addresses))
+            router.coordinator.send_command(SetMembers(live, addresses))
 
-    def tell_vms(self):
+    def set_vms(self):
         vms = {
             centre: tuple(
                 sorted(r.name for r in self.routers.values() if r.data_centre == centre)
@@ -166,7 +166,7 @@
             for centre in self.centres
         }
         for router in self.routers.values():
-            router.coordinator.tell(TakeVms(vms))
+            router.coordinator.send_command(SetVms(vms))
 
     async def call(self, router, workspace, tokens=20, *, deadline_s=60.0, weight=1.0):
         """Send one request as a router's execution does; return its outcome."""
@@ -193,10 +193,10 @@
 
     async def _run(self, coordinator, lease, workspace, tokens):
         server = self.servers[lease.server.name]
-        coordinator.tell(NoteStarted(lease.lease_id))
+        coordinator.send_command(NoteStarted(lease.lease_id))
         server.starts.append((self.now, workspace))
         server.running += 1
-        server.most_running = max(server.most_running, server.running)
+        server.peak_running = max(server.peak_running, server.running)
         if server.running > server.batch:
             server.over.append((self.now, server.running))
         began, done = self.now, 0.0
@@ -205,7 +205,7 @@
                 await anyio.sleep(server.chunk_s)
                 step = min(RATE * CHUNK_S, tokens - done)
                 done += step
-                coordinator.tell(NoteProgress(lease.lease_id, step))
+                coordinator.send_command(NoteProgress(lease.lease_id, step))
                 total = server.service.get(workspace, 0.0) + step
                 server.service[workspace] = total
         finally:
@@ -219,7 +219,7 @@
             (self.now - began) * step / tokens,
             self.now - began,
         )
-        coordinator.tell(NoteFinished(report))
+        coordinator.send_command(NoteFinished(report))
 
     async def keep_calling(self, router, workspace, tokens=20, **options):
         """Send one request after another until cancelled."""
@@ -248,8 +248,8 @@
         for centre, names in self.centres.items():
             for name in names:
                 self.start(name, centre)
-        self.tell_vms()
-        self.tell_members()
+        self.set_vms()
+        self.set_members()
         self.publish()
 
 
--- a/packages/fulmarroad/tests/scheduling/conftest.py
+++ b/packages/fulmarroad/tests/scheduling/conftest.py
@@ -76,7 +76,7 @@
     name: str
     skew: float
     following: dict = field(factory=dict)  # shard: epoch
-    greeted: dict = field(factory=dict)  # shard: clock in the hello last sent
+    hello_clock: dict = field(factory=dict)  # shard: clock in the hello last sent
     requests: dict = field(factory=dict)  # name: Request
 
 
@@ -217,7 +217,7 @@
             ServerHint(server.name, self.units, Warmth.WARM, 0.0)
             for server in self.shards[shard]
         ]
-        clock = router.greeted[shard] = self.now + router.skew
+        clock = router.hello_clock[shard] = self.now + router.skew
         hello = Hello(
             shard, router.name, 1, "dc1", clock, waiting, running, tuple(hints)
         )
@@ -339,8 +339,8 @@
     def _granted(self, router, grant):
         request = router.requests.get(grant.demand_id)
         epoch = router.following.get(grant.shard)
-        greeted = router.greeted[grant.shard]
-        valid = grant_valid(grant, epoch, self.now + router.skew, greeted)
+        hello_clock = router.hello_clock[grant.shard]
+        valid = grant_valid(grant, epoch, self.now + router.skew, hello_clock)
         if not valid or request is None or request.state != "waiting":
             self.late_grants += not valid
             done = Finished(grant.shard, grant.lease_id, Outcome.DECLINED, 0.0)
@@ -464,7 +464,7 @@
                 self.at(
                     self.now + delay,
                     lambda o=other: self._at_scheduler(
-                        o, lambda: o.absorb(report, self.now)
+                        o, lambda: o.receive_report(report, self.now)
                     ),
                 )
 
--- a/packages/fulmarroad/tests/scheduling/test_scheduling.py
+++ b/packages/fulmarroad/tests/scheduling/test_scheduling.py
@@ -29,7 +29,7 @@
         delay_s=0.05,
         largest_cost=largest,
         estimate_error=error,
-        least_weight=weight,
+        min_weight=weight,
     )
 
 
--- a/packages/fulmarroad/tests/test_admission.py
+++ b/packages/fulmarroad/tests/test_admission.py
@@ -73,14 +73,14 @@
     def test_one_workspace_meets_its_own_bound_first(self):
         # One workspace sends ten thousand requests in a second. The queue is shared,
         # so without bounds of their own the others would be refused for its load.
-        admission = Admission(most_waiting=400)
+        admission = Admission(max_waiting=400)
         flooder = Workspace("large", max_waiting=10_000)
         assert fill(admission, flooder, 10_000) <= 200
         for n in range(15):
             assert fill(admission, Workspace(f"small-{n}"), 5) == 5
 
     def test_many_floods_leave_room_for_a_small_workspace(self):
-        admission = Admission(most_waiting=400)
+        admission = Admission(max_waiting=400)
         for n in range(20):
             fill(admission, Workspace(f"large-{n}", max_waiting=10_000), 1000)
         assert fill(admission, Workspace("small"), 2) == 2
--- a/packages/fulmarroad/tests/test_concurrency.py
+++ b/packages/fulmarroad/tests/test_concurrency.py
@@ -5,7 +5,7 @@
 import pytest
 from attrs import define, field
 
-from fulmarroad._concurrency import ConcurrencyLimit, Round, followed, in_full_use
+from fulmarroad._concurrency import ConcurrencyLimit, Round, followed, is_fully_used
 from fulmarroad._warmth import ServerHealth
 from fulmarroad.tables import Pool, PoolKind
 from fulmarroad.types import Outcome, Warmth
@@ -74,7 +74,7 @@
         for job in engine.advance(now):
             gap = (now - job.first) / max(1.0, job.tokens)
             running = len(engine.jobs) + 1
-            full = in_full_use(running, health.limit(now))
+            full = is_fully_used(running, health.limit(now))
             health.observe(
                 Outcome.COMPLETED,
                 job.first - job.began,
--- a/packages/fulmarroad/tests/test_configuration.py
+++ b/packages/fulmarroad/tests/test_configuration.py
@@ -191,8 +191,8 @@
             await anyio.sleep(self._rng.uniform(0.5, 1.5) * self.GOSSIP_S)
             other = self._rng.choice(list(self.nodes.values()))
             if other is not node and self.reaches(node.name, other.name):
-                other.watcher.heard(node.name, node.store.version)
-                node.watcher.heard(other.name, other.store.version)
+                other.watcher.record_peer_version(node.name, node.store.version)
+                node.watcher.record_peer_version(other.name, other.store.version)
 
     def reaches(self, one, other):
         if one not in self.nodes or other not in self.nodes:
--- a/packages/fulmarroad/tests/test_datagrams.py
+++ b/packages/fulmarroad/tests/test_datagrams.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from fulmarroad.datagrams import MOST_A_TURN, PacketSocket
+from fulmarroad.datagrams import MAX_PACKETS_PER_TURN, PacketSocket
 from fulmarroad.exceptions import TransportError
 
 HOST = "127.0.0.4"
@@ -65,7 +65,7 @@
                 packets._socket = own
 
         anyio.run(test)
-        assert len(got) == MOST_A_TURN
+        assert len(got) == MAX_PACKETS_PER_TURN
 
     def test_a_port_in_use_is_told(self):
         async def test():
--- a/packages/fulmarroad/tests/test_fleet.py
+++ b/packages/fulmarroad/tests/test_fleet.py
@@ -25,7 +25,7 @@
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         assert set(fleet.outcomes.values()) == {"completed"}
-        assert all(0 < s.most_running <= 4 for s in fleet.servers.values())
+        assert all(0 < s.peak_running <= 4 for s in fleet.servers.values())
 
 
 class TestLostScheduler:
@@ -47,11 +47,11 @@
                 for name in doomed:
                     fleet.kill(name)
                 await anyio.sleep(1.0)
-                fleet.tell_members()
+                fleet.set_members()
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         assert list(fleet.outcomes.values()) == ["completed"] * 30
-        assert all(s.most_running <= 4 for s in fleet.servers.values())
+        assert all(s.peak_running <= 4 for s in fleet.servers.values())
 
 
 class TestFairness:
@@ -110,7 +110,7 @@
         for other in second:
             fleet.network.cut(one, other)
     seen = {name: side for side in sides for name in side}
-    fleet.tell_members(seen)
+    fleet.set_members(seen)
 
 
 class TestSplit:
@@ -133,7 +133,7 @@
                     for name, s in fleet.servers.items()
                 }
                 fleet.network.heal()
-                fleet.tell_members()
+                fleet.set_members()
                 fleet.healed_at = fleet.now
                 await anyio.sleep(10.0)
                 group.cancel_scope.cancel()
@@ -165,7 +165,7 @@
                 fleet.publish(out=["south"], to=CENTRES["north"])
                 await anyio.sleep(5.0)
                 fleet.network.heal()
-                fleet.tell_members()
+                fleet.set_members()
                 fleet.publish(out=["south"])
                 fleet.heard = fleet.now
                 await anyio.sleep(10.0)
@@ -202,5 +202,5 @@
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         starts = [at for at, _ in fleet.servers["north-a"].starts]
         assert [at for at in starts if fleet.frozen_at + 4 < at < fleet.frozen_at + 8]
-        assert all(s.most_running <= 4 for s in fleet.servers.values())
+        assert all(s.peak_running <= 4 for s in fleet.servers.values())
         assert fleet.unserved() == {}
--- a/packages/fulmarroad/tests/test_keys.py
+++ b/packages/fulmarroad/tests/test_keys.py
@@ -56,7 +56,7 @@
                 keys.Unverifiable(),
             ),
             ([reply("started"), reply("started", "z")], keys.InProgress()),
-            ([reply("started"), reply("fenced", "z", 7)], keys.Outrun(7)),
+            ([reply("started"), reply("fenced", "z", 7)], keys.Superseded(7)),
             ([reply("unable", reason="full")] * 3, keys.Full()),
             ([reply("unable", reason="no_memory")] * 3, keys.Unverifiable()),
             ([reply("unknown", "z", fingerprint="f")], keys.Unknown()),
@@ -81,8 +81,8 @@
             ([MINE] * 2, [SEEN, MINE], keys.InProgress()),
             ([MINE] * 2, [SEEN, MINE, MINE], keys.Fenced()),
             ([MINE] * 2, [reply("started", reason="long_ago")], keys.Unknown()),
-            ([MINE] * 2, [reply("fenced", "z", 11)] * 2, keys.Outrun(11)),
-            ([MINE] * 2, [reply("fenced", "z", 10)] * 2, keys.Outrun(10)),
+            ([MINE] * 2, [reply("fenced", "z", 11)] * 2, keys.Superseded(11)),
+            ([MINE] * 2, [reply("fenced", "z", 10)] * 2, keys.Superseded(10)),
         ],
     )
     def test_verdict(self, here, there, verdict):
@@ -168,8 +168,8 @@
     after = ""
     while True:
         asked = messages.KeyCopyWanted("fes-1", after, page_size, me, tuple(vms))
-        given = giver.give_copy(asked, 1.0)
-        taker.take_copy(giver._me, vms, given, 1.0)
+        given = giver.serve_copy(asked, 1.0)
+        taker.merge_copy(giver._me, vms, given, 1.0)
         if not given.more:
             return
         after = given.last
@@ -189,7 +189,7 @@
         copy(others[1], new)
         assert new.fence(fence(), 1.0).state == "started"
         assert new.start(start(), 1.0).reason == "copied"
-        assert new.wanted_copies(1.0) == []
+        assert new.missing_copies(1.0) == []
 
     def test_two_restarted_members_wait_for_the_retention_time(self):
         # Two of three VMs are replaced at once; a start that only they knew is gone.
@@ -329,7 +329,7 @@
         if end == "finish":
             await router.finish(attempt, 201, (), b"posted")
         elif end == "lose":
-            await router.lose(attempt)
+            await router.mark_outcome_unknown(attempt)
         return decision
 
 
--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -191,7 +191,7 @@
         assert any(isinstance(probe, messages.Ping) for probe in probes)
         swim.changes()
         swim.tick(10.0)
-        assert swim.doubting(10.0)
+        assert swim.recovering_from_pause(10.0)
         assert swim.changes() == []
 
     def test_a_restarted_vm_knows_all_within_seconds(self):
@@ -333,7 +333,7 @@
             fleet.post(name, fleet.swims[name].announce_version(7, fleet.now))
 
         def fetch(name):
-            version, source = fleet.swims[name].highest_version_heard()
+            version, source = fleet.swims[name].highest_reported_version()
             if version == 7 and name not in fetched:
                 fetched[name] = -1
                 fleet.at(fleet.now + 0.1, announce, name, fetched[source] + 1)
@@ -347,13 +347,13 @@
     def test_the_source_of_a_version_is_a_router_that_is_reachable(self):
         # The only router that had a version dies before anybody fetched it.
         swim = Swim(update("r0"), seed=1, now=0.0)
-        assert swim.highest_version_heard() == (0, "")
+        assert swim.highest_reported_version() == (0, "")
         for name, version in (("r1", 7), ("r2", 6)):
             ping = messages.Ping(1, name, 1, version, (update(name),), "r0")
             swim.handle(ping, 0.0)
-        assert swim.highest_version_heard() == (7, "r1")
+        assert swim.highest_reported_version() == (7, "r1")
         swim.handle(page(update("r1", 1, DEAD)), 0.0)
-        assert swim.highest_version_heard() == (6, "r2")
+        assert swim.highest_reported_version() == (6, "r2")
 
     def test_a_lower_version_is_not_announced(self):
         fleet = Fleet(3)
--- a/packages/fulmarroad/tests/test_policies.py
+++ b/packages/fulmarroad/tests/test_policies.py
@@ -48,7 +48,9 @@
         assert len(queue) == 3
 
     def test_only_the_fleet_policy_spreads(self):
-        spreading = [p for p in ("fleet", "fifo", "local") if make_queue(p).spreads]
+        spreading = [
+            p for p in ("fleet", "fifo", "local") if make_queue(p).reports_totals
+        ]
         assert spreading == ["fleet"]
 
 
--- a/packages/fulmarroad/tests/test_running.py
+++ b/packages/fulmarroad/tests/test_running.py
@@ -54,6 +54,6 @@
         leases.use("l-1", 5.0, None, None)
         leases.report(10.0)
         leases.use("l-1", 2.0, None, None)
-        charged = {row.lease_id: row.charged for row in leases.told(HERE, 11.0)}
+        charged = {row.lease_id: row.charged for row in leases.snapshot(HERE, 11.0)}
         assert charged == {"l-1": 7.0, "l-2": 0.0}
         assert leases.report(100.0) == []
--- a/packages/fulmarroad/tests/test_scheduler.py
+++ b/packages/fulmarroad/tests/test_scheduler.py
@@ -357,7 +357,7 @@
 class TestMoves:
     def note_free(self, scheduler, now, free=2):
         row = ServiceReport(ELSEWHERE, Epoch("x", 1, 1), int(now * 1000), free, 8, 0)
-        return scheduler.absorb(row, now)
+        return scheduler.receive_report(row, now)
 
     def test_waiting_demands_move_to_free_units(self):
         scheduler = ready(units=1)
@@ -400,7 +400,7 @@
         scheduler.report(0.0)
         assert scheduler.report(0.3) is None
         row = ServiceReport(ELSEWHERE, Epoch("x", 1, 1), 1, 0, 8, 4)
-        scheduler.absorb(row, 0.3)
+        scheduler.receive_report(row, 0.3)
         assert scheduler.report(0.4).free == 2
 
     def test_reports_are_numbered(self):
--- a/packages/fulmarroad/tests/test_spreading.py
+++ b/packages/fulmarroad/tests/test_spreading.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fulmarroad._pace import Pace
-from fulmarroad._spreading import Spreading
+from fulmarroad._pace import ServiceTimeEstimator
+from fulmarroad._spreading import PoolReporter
 from fulmarroad._totals import BURST_BYTES, CONTROL_BYTES_S
 from fulmarroad.capacity import ServerBook
 from fulmarroad.messages import Demand, encode
@@ -23,7 +23,9 @@
         queue.add(Demand(SHARD, f"d{number}", name, 1.0, 9.0, 0.0, 60.0), "r1", 0.0)
     servers = (BackendServer("s1", "127.0.0.1:1", "dc1"),)
     book = ServerBook(Pool("chat"), servers, now=0.0)
-    part = Spreading(SHARD, Epoch("r1", 1, 1), book, queue, Pace(), 0.0)
+    part = PoolReporter(
+        SHARD, Epoch("r1", 1, 1), book, queue, ServiceTimeEstimator(), 0.0
+    )
     part.set_peers(peers)
     return part
 
--- a/packages/fulmarroad/tests/test_totals.py
+++ b/packages/fulmarroad/tests/test_totals.py
@@ -38,8 +38,8 @@
 class TestAbsorb:
     def test_service_elsewhere_counts_here(self):
         queue, totals = backlogged("a", "b")
-        totals.absorb(report(1, ("a", 100.0, 0.0, 5)), 10.0)
-        totals.absorb(report(2, ("a", 150.0, 0.0, 5)), 10.1)
+        totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(2, ("a", 150.0, 0.0, 5)), 10.1)
         assert [serve(queue) for _ in range(5)] == ["b"] * 5
 
     @pytest.mark.parametrize("order", [(2, 3, 3), (3, 2, 3), (2, 2, 3), (3, 2, 2)])
@@ -47,43 +47,43 @@
         """A network that doubles and reorders reports must not let a workspace
         look served twice, or it would be shut out."""
         queue, totals = backlogged("a", "b")
-        totals.absorb(report(1, ("a", 100.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
         rows = {2: 150.0, 3: 175.0}
         for sequence in order:
             row = report(sequence, ("a", rows[sequence], 0.0, 5))
-            totals.absorb(row, 10.1)
+            totals.receive_report(row, 10.1)
         assert queue.account("a").counter == 75.0
 
     def test_a_lost_report_is_made_up_for_by_the_next(self):
         queue, totals = backlogged("a")
-        totals.absorb(report(1, ("a", 100.0, 0.0, 5)), 10.0)
-        totals.absorb(report(9, ("a", 180.0, 0.0, 5)), 11.0)
+        totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(9, ("a", 180.0, 0.0, 5)), 11.0)
         assert queue.account("a").counter == 80.0
 
     def test_a_new_epoch_starts_from_its_own_sum(self):
         """A scheduler is replaced by one with no memory, whose sum starts at 0. By
         name alone its first report would look like service taken back."""
         queue, totals = backlogged("a")
-        totals.absorb(report(7, ("a", 500.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(7, ("a", 500.0, 0.0, 5)), 10.0)
         fresh = Epoch("r3", 1, 1)
-        totals.absorb(report(1, ("a", 0.0, 0.0, 5), epoch=fresh), 10.1)
-        totals.absorb(report(2, ("a", 20.0, 0.0, 5), epoch=fresh), 10.2)
+        totals.receive_report(report(1, ("a", 0.0, 0.0, 5), epoch=fresh), 10.1)
+        totals.receive_report(report(2, ("a", 20.0, 0.0, 5), epoch=fresh), 10.2)
         assert queue.account("a").counter == 20.0
 
     def test_an_unknown_workspace_begins_at_its_lag(self):
         queue, totals = backlogged("a")
         serve(queue, 40.0)
-        totals.absorb(report(1, ("b", 900.0, 25.0, 5)), 10.0)
+        totals.receive_report(report(1, ("b", 900.0, 25.0, 5)), 10.0)
         assert queue.account("b").counter == 65.0
 
     def test_a_new_scheduler_takes_counters_from_the_first_report(self):
         queue, totals = backlogged("a", "b", now=10.0)
-        totals.absorb(report(5, ("a", 9.0, 300.0, 5), ("b", 9.0, 0.0, 5)), 10.2)
+        totals.receive_report(report(5, ("a", 9.0, 300.0, 5), ("b", 9.0, 0.0, 5)), 10.2)
         assert [serve(queue) for _ in range(10)] == ["b"] * 10
 
     def test_a_workspace_backlogged_elsewhere_is_not_lifted_here(self):
         queue, totals = backlogged("a")
-        totals.absorb(report(1, ("b", 0.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(1, ("b", 0.0, 0.0, 5)), 10.0)
         for _ in range(20):
             serve(queue)
         queue.add(Demand(HERE, "late", "b", 1.0, 10.0, 0.0, 1e5), "r1", 11.0)
@@ -94,7 +94,7 @@
         """A scheduler dies while a workspace waits only there. Kept for ever, its low
         counter would hold the floor down for everybody who returns."""
         queue, totals = backlogged("a")
-        totals.absorb(report(1, ("b", 0.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(1, ("b", 0.0, 0.0, 5)), 10.0)
         for _ in range(20):
             serve(queue)
         queue.add(Demand(HERE, "late", "b", 1.0, 10.0, 0.0, 1e5), "r1", 20.0)
@@ -103,7 +103,9 @@
     @pytest.mark.parametrize("wrong", [float("nan"), float("inf"), float("-inf")])
     def test_amounts_that_are_no_numbers_are_ignored(self, wrong):
         queue, totals = backlogged("a")
-        totals.absorb(report(1, ("a", wrong, 0.0, 5), ("c", 1.0, wrong, 5)), 10.0)
+        totals.receive_report(
+            report(1, ("a", wrong, 0.0, 5), ("c", 1.0, wrong, 5)), 10.0
+        )
         assert queue.account("a").counter == 0.0
 
 
@@ -117,8 +119,8 @@
     @pytest.fixture
     def rejoined(self):
         queue, totals = backlogged("served", "b")
-        totals.absorb(report(1, ("served", 0.0, 0.0, 5)), 10.0)
-        totals.absorb(report(2, ("served", 3000.0, 0.0, 5)), 70.0)
+        totals.receive_report(report(1, ("served", 0.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(2, ("served", 3000.0, 0.0, 5)), 70.0)
         return queue
 
     def test_nobody_is_starved(self, rejoined):
@@ -144,12 +146,12 @@
 
     def test_service_to_one_that_waits_elsewhere_is_told(self):
         queue, totals = backlogged()
-        totals.absorb(report(1, ("a", 0.0, 0.0, 5)), 10.0)
+        totals.receive_report(report(1, ("a", 0.0, 0.0, 5)), 10.0)
         queue.add(Demand(HERE, "d", "a", 1.0, 10.0, 0.0, 60.0), "r1", 10.0)
         serve(queue)
         (row,) = totals.entries(10.1)
         assert (row.workspace, row.served, row.waiting) == ("a", 10.0, 0)
-        assert totals.news(10.2) == 0
+        assert totals.pending_entries(10.2) == 0
 
     def test_what_is_left_out_comes_next(self):
         queue, totals = backlogged(*(f"w{number}" for number in range(100)))
--- a/packages/fulmarroad/tests/test_transport.py
+++ b/packages/fulmarroad/tests/test_transport.py
@@ -44,7 +44,7 @@
     def on_detached(self, peer, handle):
         self.detached.set()
 
-    async def on_question(self, peer, message):
+    async def on_request(self, peer, message):
         return m.TablesGiven(message.above)
 
 
--- a/packages/fulmarroad/tests/test_warmth.py
+++ b/packages/fulmarroad/tests/test_warmth.py
@@ -279,5 +279,5 @@
 
     def test_a_server_taken_back_into_service_is_cold(self):
         health = warm_up(new_health())
-        health.chill("taken into service")
+        health.reset_to_cold("taken into service")
         assert health.limit(0.0) == POOL.cold_concurrency
