--- a/packages/fulmarroad/src/fulmarroad/_granting.py
+++ b/packages/fulmarroad/src/fulmarroad/_granting.py
@@ -15,9 +15,9 @@
     RunningLease,
     ServiceUsed,
 )
-from fulmarroad._pace import ServiceTimeEstimator
 from fulmarroad._placement import PrefixMap, choose_unit
 from fulmarroad._policies import SchedulingPolicy
+from fulmarroad._service_times import ServiceTimeEstimator
 from fulmarroad._shares import START_WINDOW_S
 from fulmarroad._slots import FreeUnit, ServerBook
 from fulmarroad._warmth import WarmthChange
--- a/packages/fulmarroad/src/fulmarroad/_spreading.py
+++ b/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
@@ -4,8 +4,8 @@
 
 from fulmarroad._fairqueue import FleetQueue
 from fulmarroad._messages import ServiceReport
-from fulmarroad._pace import ServiceTimeEstimator
 from fulmarroad._rebalance import Handover, Rebalancer
+from fulmarroad._service_times import ServiceTimeEstimator
 from fulmarroad._slots import ServerBook
 from fulmarroad._totals import (
     BURST_BYTES,
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -32,9 +32,9 @@
     Withdraw,
 )
 from fulmarroad._policies import SchedulingPolicy
+from fulmarroad._pool_reporter import PoolReporter
 from fulmarroad._shares import LENDING_TERM_S
 from fulmarroad._slots import ServerBook
-from fulmarroad._spreading import PoolReporter
 from fulmarroad._tables import BackendServer, Pool
 from fulmarroad._warmth import WarmthChange
 from fulmarroad.types import Epoch, RefusalReason, RouterName, ServerName, ShardId
--- a/packages/fulmarroad/tests/test_spreading.py
+++ b/packages/fulmarroad/tests/test_spreading.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fulmarroad._pace import ServiceTimeEstimator
-from fulmarroad._spreading import PoolReporter
+from fulmarroad._pool_reporter import PoolReporter
+from fulmarroad._service_times import ServiceTimeEstimator
 from fulmarroad._totals import BURST_BYTES, CONTROL_BYTES_S
 from fulmarroad.capacity import ServerBook
 from fulmarroad.messages import Demand, encode
