--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_replica.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica.py
@@ -112,10 +112,10 @@
         return self.merge(delta.items, delta.at)
 
     def _accept(self, item: ReplicaItem) -> bool:
-        current = self._items.get(item.key)
-        if current is not None and current.revision >= item.revision:
+        before = self._items.get(item.key)
+        if before is not None and before.revision >= item.revision:
             return False
-        if current is None and item.revision <= self.at:
+        if before is None and item.revision <= self.at:
             # The copy is complete up to this position, so the item was deleted since. A
             # peer's answer that arrives after a newer listing must not bring it back.
             return False
--- a/packages/fulmarroad-serving/tests/platform_store.py
+++ b/packages/fulmarroad-serving/tests/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, which may come back from an older copy."""
+"""Fake of the platform's store that can be restored from an older copy."""
 
 import asyncio
 import base64
@@ -18,10 +18,10 @@
 
 @define
 class FakePlatformStore:
-    """Answer ranges and watches as the platform's pages say."""
+    """Answer range and watch requests as the platform's documentation describes."""
 
     era: int = 1
-    states_era: bool = True  # stores of before don't
+    states_era: bool = True  # older stores state no era
     revision: int = 1
     offline: bool = False
     refuses_watches: bool = False
@@ -29,13 +29,13 @@
     watches: int = 0
     port: int = 0
     _items: dict = field(factory=dict)
-    _oldest: int = 0  # watches from before get 410
+    _oldest_revision: int = 0  # watches from an earlier revision get 410
     _changed: asyncio.Event = field(factory=asyncio.Event)
     _server: asyncio.Server | None = None
-    _writers: list = field(factory=list)
+    _connections: list = field(factory=list)
 
     def put(self, key, value):
-        """Write an item as the operator and the servers do."""
+        """Write an item as operators and servers do."""
         data = value if value is None else json.dumps(value).encode()
         self.revision += 1
         self._items[key] = _Item(self.revision, data)
@@ -45,13 +45,13 @@
         self.put(key, None)
 
     def save_copy(self):
-        """Return the state as of now, to come back from."""
+        """Return a copy of the current state for `restore_copy`."""
         return copy.deepcopy((self.revision, self._items))
 
-    def restore_copy(self, kept):
-        """Lose all that was written since a copy; revisions are given out again."""
-        self.revision, self._items = copy.deepcopy(kept)
-        self._oldest = self.revision
+    def restore_copy(self, backup):
+        """Restore a copy and lose later writes; their revisions are assigned again."""
+        self.revision, self._items = copy.deepcopy(backup)
+        self._oldest_revision = self.revision
         self.era += 1
         self._wake()
 
@@ -60,9 +60,9 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self):
-        """Close, and let every answer end before the loop does."""
+        """Close, and let open responses end before the event loop does."""
         self._server.close()
-        for writer in self._writers:
+        for writer in self._connections:
             writer.transport.abort()
         await asyncio.sleep(0)
 
@@ -71,7 +71,7 @@
         self._changed = asyncio.Event()
 
     async def _connected(self, reader, writer):
-        self._writers.append(writer)
+        self._connections.append(writer)
         ends = (OSError, asyncio.IncompleteReadError, asyncio.CancelledError)
         with contextlib.suppress(*ends):
             while True:
@@ -94,20 +94,20 @@
             return 200, {"Entries": rows, "Truncated": False, "At": self.revision}
         self.watches += 1
         after = int(query["After"])
-        if self.refuses_watches or not self._oldest <= after <= self.revision:
+        if self.refuses_watches or not self._oldest_revision <= after <= self.revision:
             return 410, {}
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(int(query["WaitTimeMs"]) / 1000):
                 while self.revision == after:
                     await self._changed.wait()
-        news = [
+        changed = [
             self._row(key, row)
             for key, row in sorted(
                 self._items.items(), key=lambda pair: pair[1].revision
             )
             if row.revision > after
         ]
-        return 200, {"events": news, "At": self.revision}
+        return 200, {"events": changed, "At": self.revision}
 
     def _row(self, key, row):
         if row.data is None:
--- a/packages/fulmarroad-serving/tests/test_histories.py
+++ b/packages/fulmarroad-serving/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Any order of news about configuration, keys, servers and data centres."""
+"""Changes of configuration, keys, servers and data centres that arrive in any order."""
 
 import json
 
@@ -39,7 +39,7 @@
 
 
 class Decoder:
-    """Read items as this test writes them."""
+    """Decode items as the state machine writes them."""
 
     def decode(self, item):
         kind, _, name = item.key.partition("/")
@@ -68,12 +68,12 @@
         )
 
 
-class AnyNews(RuleBasedStateMachine):
-    """Operators write, servers come and go, routers hear of it in any order.
+class AnyChangeOrder(RuleBasedStateMachine):
+    """Write changes and deliver them to routers in any order.
 
-    A router may list, watch, or hear from another router that is far behind. Whatever
-    it has heard, it must never go back to an older version, take a withdrawn key again
-    or send to a server that it knows has gone.
+    A router may list, watch, or pull from another router that is far behind. It must
+    never go back to an older version, accept a revoked key again or use a removed
+    server.
     """
 
     def __init__(self):
@@ -123,7 +123,7 @@
             self.write(f"server/{server}", None)
 
     @rule(centre=CENTRES, leaves=st.booleans())
-    def operators_empty_a_data_centre(self, centre, leaves):
+    def operators_exclude_or_include_a_data_centre(self, centre, leaves):
         if leaves or f"left/{centre}" in self.live:
             self.write(f"left/{centre}", {} if leaves else None)
 
@@ -138,12 +138,14 @@
         beliefs, _ = self.routers[router]
         if beliefs.replica.known:
             upto = data.draw(st.integers(0, len(self.log)))
-            news = [row for row in self.log[:upto] if row.revision > beliefs.replica.at]
-            at = max((row.revision for row in news), default=beliefs.replica.at)
-            beliefs.apply_changes(news, at, 60.0, "store")
+            changed = [
+                row for row in self.log[:upto] if row.revision > beliefs.replica.at
+            ]
+            at = max((row.revision for row in changed), default=beliefs.replica.at)
+            beliefs.apply_changes(changed, at, 60.0, "store")
 
     @rule(router=ROUTERS, other=ROUTERS)
-    def a_router_hears_from_another(self, router, other):
+    def a_router_pulls_from_another(self, router, other):
         beliefs, _ = self.routers[router]
         theirs, _ = self.routers[other]
         if router != other:
@@ -152,7 +154,7 @@
 
     @precondition(lambda self: len(self.log) > 0)
     @rule(router=ROUTERS, data=st.data())
-    def an_old_item_comes_late(self, router, data):
+    def an_old_item_arrives_late(self, router, data):
         beliefs, _ = self.routers[router]
         item = data.draw(st.sampled_from(self.log))
         if beliefs.replica.known and item.revision <= beliefs.replica.at:
@@ -172,7 +174,7 @@
             self.seen[name] = beliefs.catalog.version
 
     @invariant()
-    def what_is_believed_is_the_store_at_one_revision(self):
+    def router_state_matches_the_store_at_one_revision(self):
         for beliefs, dispatcher in self.routers.values():
             if not beliefs.replica.known:
                 continue
@@ -198,11 +200,11 @@
             }
 
 
-class AnyServerLife(RuleBasedStateMachine):
-    """Servers start, turn cold, leave, start again under their id, lapse and return.
+class AnyServerLifecycle(RuleBasedStateMachine):
+    """Start, drain, remove and restart servers whose entries may expire and return.
 
-    Addresses go from one to the next. A router must not use one that drains or is gone,
-    nor take one for warm before its time.
+    Ports are reused by other servers. A router must not use a server that is draining
+    or removed, nor treat one as warm too early.
     """
 
     def __init__(self):
@@ -211,7 +213,7 @@
         self.now = 100.0
         self.started = 0
         self.alive = {}
-        self.gone_by = {}
+        self.removal_due = {}
         self.cold_until = {}
 
     def put(self, server, draining, warmup_s):
@@ -226,14 +228,14 @@
             warmup_left_s=warmup_s,
             started_ms=self.alive[server],
         )
-        fresh = self.registry.put(instance, self.now)
+        is_new_run = self.registry.put(instance, self.now)
         self.cold_until[server] = self.now + warmup_s
-        self.gone_by.pop(server, None)
-        return fresh
+        self.removal_due.pop(server, None)
+        return is_new_run
 
     @rule(server=SERVERS, warmup_s=st.floats(0.0, 5.0))
     def a_server_starts(self, server, warmup_s):
-        """Also under an id that ran before: it then holds nothing of that time."""
+        """A restart may reuse an id; the new run inherits no state."""
         self.started += 1
         self.alive[server] = self.started
         assert self.put(server, False, warmup_s)
@@ -254,7 +256,7 @@
         else:
             assert not row.instance.draining
             assert failure_age_s < LAPSE_GRACE_S
-            self.gone_by[server] = self.now + LAPSE_GRACE_S
+            self.removal_due[server] = self.now + LAPSE_GRACE_S
 
     @rule(server=SERVERS)
     def a_connection_breaks(self, server):
@@ -263,41 +265,41 @@
             assert self.registry.get(server).cold(self.now + SUSPECT_S - 0.01)
 
     @rule(server=SERVERS, left_s=st.floats(0.0, 5.0))
-    def a_server_says_that_it_is_cold(self, server, left_s):
+    def a_server_reports_that_it_is_cold(self, server, left_s):
         self.registry.mark_cold(server, left_s, self.now)
         if self.registry.get(server) is not None:
             until = max(self.cold_until[server], self.now + left_s)
             self.cold_until[server] = until
 
     @rule(seconds=st.floats(0.05, 3.0))
-    def time_goes_by(self, seconds):
+    def time_passes(self, seconds):
         self.now += seconds
         self.registry.expire(self.now)
 
     @invariant()
-    def no_server_that_drains_is_used(self):
+    def no_draining_server_is_used(self):
         for row in self.registry.usable("drafting"):
             assert not row.instance.draining
 
     @invariant()
-    def none_is_kept_past_the_time_for_its_return(self):
-        for server, by in self.gone_by.items():
+    def no_server_is_kept_after_the_grace_period(self):
+        for server, by in self.removal_due.items():
             if self.now >= by:
                 assert self.registry.get(server) is None
 
     @invariant()
-    def none_is_warm_before_its_time(self):
+    def no_server_is_warm_before_its_time(self):
         for row in self.registry.rows():
             if self.now < self.cold_until[row.instance.id]:
                 assert row.cold(self.now)
 
     @invariant()
-    def only_the_newest_start_is_known(self):
+    def only_the_newest_run_is_known(self):
         for row in self.registry.rows():
             assert row.instance.started_ms == self.alive[row.instance.id]
 
 
-TestAnyNews = AnyNews.TestCase
-TestAnyNews.settings = SETTINGS
-TestAnyServerLife = AnyServerLife.TestCase
-TestAnyServerLife.settings = SETTINGS
+TestAnyChangeOrder = AnyChangeOrder.TestCase
+TestAnyChangeOrder.settings = SETTINGS
+TestAnyServerLifecycle = AnyServerLifecycle.TestCase
+TestAnyServerLifecycle.settings = SETTINGS
--- a/packages/fulmarroad-serving/tests/test_platform_calls.py
+++ b/packages/fulmarroad-serving/tests/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Headers of calls and answers, translated."""
+"""Translation of the headers of calls and responses."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -31,12 +31,12 @@
     }
     rows = CODEC.server_headers(head, **(values | changes))
     names = [name for name, _ in rows]
-    assert len(names) == len(set(names)), "a header is sent twice"
+    assert len(names) == len(set(names)), "the server gets a header twice"
     return dict(rows)
 
 
 class TestCalls:
-    def test_what_the_headers_say(self):
+    def test_a_callers_headers_are_decoded(self):
         head = CODEC.read_call(HEADERS)
         assert (head.request_id, head.host, head.key) == (
             "9c41",
@@ -49,40 +49,40 @@
         assert head.output_tokens == 80
 
     def test_a_caller_cannot_set_what_is_the_systems(self):
-        """A caller names another workspace, or a reservation not its own. Passed
-        on, its call would be charged to somebody else.
+        """A caller sets another workspace's name, or a reservation that is not its own.
+        Forwarded, the call would be charged to that workspace.
         """
         sent = server_headers(CODEC.read_call(HEADERS))
         assert sent[b"tenant-id"] == b"coop"
         assert b"kv-hold" not in sent
         assert b"authorization" not in sent
 
-    def test_the_engine_to_fetch_from_is_named_and_only_by_the_router(self):
-        """A caller names an engine of its choice as a source. Passed on, it would
-        make engines move other workspaces' prompts over their links.
+    def test_only_the_router_sets_the_engine_to_fetch_from(self):
+        """A caller names an engine as the source of cached prompt parts. Forwarded, the
+        header would make engines transfer other workspaces' prompts over their links.
         """
         head = CODEC.read_call([*HEADERS, (b"kv-fetch", b"10.9.9.9:1")])
         assert b"kv-fetch" not in server_headers(head)
         source = Instance("i-2", "drafting", "10.1.0.2", 8080, "fes", 48)
         assert server_headers(head, source=source)[b"kv-fetch"] == b"10.1.0.2:8080"
 
-    def test_a_call_without_a_workspace_names_none(self):
+    def test_a_call_without_a_workspace_has_no_workspace_header(self):
         assert b"tenant-id" not in server_headers(
             CODEC.read_call(HEADERS), workspace=""
         )
 
-    def test_headers_of_one_connection_stay_on_it(self):
+    def test_connection_headers_are_not_forwarded(self):
         sent = server_headers(CODEC.read_call(HEADERS))
         assert b"connection" not in sent
         assert b"x-hop" not in sent
         assert sent[b"x-kept"] == b"1"
 
-    def test_a_server_is_told_the_time_that_is_left(self):
+    def test_a_server_gets_the_remaining_time_and_its_id(self):
         sent = server_headers(CODEC.read_call(HEADERS))
         assert sent[b"deadline-ms"] == b"1250"
         assert sent[b"expect-instance"] == b"i-1"
 
-    def test_a_resumed_stream_names_its_last_event(self):
+    def test_a_resumed_stream_sends_its_last_event_id(self):
         head = CODEC.read_call([*HEADERS, (b"last-event-id", b"3")])
         assert head.last_event_id == "3"
         assert server_headers(head, last_event_id="12")[b"last-event-id"] == b"12"
@@ -95,12 +95,12 @@
             )
         )
     )
-    def test_any_value_is_read_without_an_error(self, headers):
+    def test_any_header_value_is_decoded_without_an_error(self, headers):
         CODEC.read_call(headers)
 
 
 class TestAnswers:
-    def test_a_servers_answer(self):
+    def test_a_servers_response_is_decoded(self):
         headers = [
             (b"Attempt-Id", b"9c41"),
             (b"Server-Signature", b"3e1b"),
@@ -114,8 +114,8 @@
             b"server-signature",
         ]
 
-    def test_a_server_that_did_not_run_a_call(self):
+    def test_a_response_to_a_call_that_was_not_run(self):
         assert CODEC.read_answer(503, [(b"Not-Executed", b"1")]).not_run
 
-    def test_a_cold_server(self):
+    def test_a_response_of_a_cold_server(self):
         assert CODEC.read_answer(200, [(b"Warmup-Ms", b"2500")]).warmup_left_s == 2.5
--- a/packages/fulmarroad-serving/tests/test_platform_days.py
+++ b/packages/fulmarroad-serving/tests/test_platform_days.py
@@ -1,4 +1,4 @@
-"""Every kind of trouble has its mechanism, test and day on the platform page."""
+"""The platform page names a mechanism, a test and a day for every kind of fault."""
 
 import re
 import tomllib
@@ -85,11 +85,11 @@
     "clock_step": "back ahead",
     "poison": "deadly",
 }
-"""Words of each kind that say how it comes; kinds without any come in one way only."""
+"""Variants of each kind, as in the `how` field of a day; other kinds have none."""
 
 
-def trouble_rows():
-    """Return the kinds of each row with its test and its days."""
+def fault_rows():
+    """Return the kinds, the test and the days of each row of the page's table."""
     page = (ROOT / "docs" / "PLATFORM.md").read_text()
     section = page.split("## Trouble, mechanism, test, day")[1].split("\n## ")[0]
     rows = [line.strip("| ").split(" | ") for line in section.splitlines()]
@@ -100,7 +100,7 @@
 
 
 def entries(path):
-    """Return the entries of a day, planned work and faults; it may have only one."""
+    """Return the planned work and faults of a day; it may have only one of them."""
     day = tomllib.loads(path.read_text())
     assert "plan" in day or "faults" in day, path
     return [*day.get("plan", ()), *day.get("faults", ())]
@@ -112,7 +112,7 @@
 
 
 def played_variants(kind):
-    """Return the words by which the days of the repository play a kind."""
+    """Return the variants of a kind that the days of the repository contain."""
     words = set()
     for path in (ROOT / "deploy" / "days").glob("*.toml"):
         for entry in entries(path):
@@ -123,10 +123,10 @@
 
 class TestVariants:
     @pytest.mark.parametrize("kind", VARIANTS)
-    def test_each_way_in_which_a_kind_comes_is_in_a_day(self, kind):
+    def test_each_variant_of_a_kind_is_in_a_day(self, kind):
         assert set(VARIANTS[kind].split()) <= played_variants(kind)
 
-    def test_every_word_of_the_days_is_one_that_is_known(self):
+    def test_days_use_known_variants_only(self):
         known = {word for row in VARIANTS.values() for word in row.split()}
         for kind in KINDS:
             assert played_variants(kind) <= known
@@ -134,13 +134,13 @@
 
 class TestTable:
     @pytest.mark.parametrize("kind", KINDS)
-    def test_each_kind_has_a_row_and_plays_in_a_day_that_it_names(self, kind):
-        rows = [row for row in trouble_rows() if kind in row[0]]
+    def test_each_kind_has_one_row_that_names_a_day_with_it(self, kind):
+        rows = [row for row in fault_rows() if kind in row[0]]
         assert len(rows) == 1
         assert any(kind in day_kinds(day) for day in rows[0][2])
 
     def test_no_row_names_an_unknown_kind(self):
-        assert {kind for row in trouble_rows() for kind in row[0]} == set(KINDS)
+        assert {kind for row in fault_rows() for kind in row[0]} == set(KINDS)
 
     def test_each_test_that_the_page_names_exists(self):
         folder = ROOT / "packages" / "fulmarroad-serving" / "tests"
--- a/packages/fulmarroad-serving/tests/test_platform_deploy.py
+++ b/packages/fulmarroad-serving/tests/test_platform_deploy.py
@@ -1,4 +1,4 @@
-"""What is built and started on the platform."""
+"""Dependencies, start command and imports of a router on the platform."""
 
 import subprocess
 import sys
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[3]
-HEAVY = (
+UNNEEDED_MODULES = (
     "grpc",
     "cattrs",
     "statsd",
@@ -33,12 +33,12 @@
 
 
 class TestBuild:
-    def test_the_same_versions_are_deployed_as_tested(self):
+    def test_deployed_versions_are_the_tested_ones(self):
         deployed = (ROOT / "deploy" / "requirements.txt").read_text().splitlines()
         tested = (ROOT / "constraints.txt").read_text().splitlines()
         assert set(deployed) <= set(tested)
 
-    def test_the_program_that_is_run_exists(self):
+    def test_the_start_command_names_an_existing_program(self):
         deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
         words = deploy["roles"]["router"]["run"].split()
         assert (ROOT / words[1]).is_file()
@@ -47,18 +47,18 @@
 
 class TestStart:
     def test_a_serving_router_loads_only_what_it_needs(self):
-        """A router's memory is paid for on every VM. An import of the other daemon's
-        transport would add a third to it, unnoticed. Its start is paid for as well: of
-        hundreds of routers that start at once, each is ready later by what it loads.
+        """A router's memory has a cost on every VM, and importing the other daemon's
+        transport would add a third to it. Each import also delays readiness when
+        hundreds of routers start at once.
         """
         code = (
             "import sys; sys.path.insert(0, 'deploy'); import router; "
-            f"print([name for name in {HEAVY!r} if name in sys.modules])"
+            f"print([name for name in {UNNEEDED_MODULES!r} if name in sys.modules])"
         )
         done = run("-c", code)
         assert done.stdout.strip() == "[]", done.stderr
 
-    def test_settings_that_cannot_be_read_are_named(self, tmp_path):
+    def test_an_invalid_settings_file_reports_the_missing_field(self, tmp_path):
         path = tmp_path / "local.toml"
         path.write_text('NodeName = "a"\n')
         done = run("deploy/router.py", "7410", FULMARROAD_BOOT=str(path))
--- a/packages/fulmarroad-serving/tests/test_platform_facts.py
+++ b/packages/fulmarroad-serving/tests/test_platform_facts.py
@@ -1,4 +1,4 @@
-"""Items of the store, decoded; and entries that other writers left there."""
+"""Decoding of the store's items, including entries of unknown writers."""
 
 import json
 
@@ -76,18 +76,18 @@
 
 
 class TestServers:
-    def test_an_entry(self):
+    def test_a_valid_entry_is_decoded(self):
         instance = decode("servers/i-1", ENTRY).instance
         assert (instance.id, instance.host, instance.port) == ("i-1", "10.1.0.9", 8080)
         assert (instance.data_centre, instance.slots) == ("fes-1", 128)
         assert (instance.draining, instance.warmup_left_s) == (False, 1.5)
         assert instance.started_ms == 1774344319005
 
-    def test_a_draining_server(self):
+    def test_a_draining_server_is_decoded(self):
         entry = ENTRY | {"LifecycleState": "draining"}
         assert decode("servers/i-1", entry).instance.draining
 
-    def test_a_removed_entry(self):
+    def test_a_removed_entry_reports_the_removal(self):
         assert decode("servers/i-1", None) == InstanceRemovedFact("i-1")
 
     @pytest.mark.parametrize(
@@ -103,9 +103,9 @@
             {"born": "now"},
         ],
     )
-    def test_an_entry_of_another_writer_names_no_server(self, change):
-        """Somebody else writes an entry of another shape. A router that used what it
-        understands of it would send callers' data to an unknown place.
+    def test_a_malformed_entry_is_unusable(self, change):
+        """Another program writes an entry of a different format. A router that used the
+        parts it can decode would send callers' data to an unknown address.
         """
         fact = decode("servers/i-1", ENTRY | change)
         assert isinstance(fact, UnusableFact)
@@ -123,12 +123,12 @@
             ),
         )
     )
-    def test_whatever_lies_there_is_decoded_or_named(self, value):
+    def test_any_value_is_decoded_or_unusable(self, value):
         assert isinstance(decode("servers/i-1", value), InstanceFact | UnusableFact)
 
 
 class TestConfiguration:
-    def test_a_configuration(self):
+    def test_a_valid_configuration_is_decoded(self):
         catalog = decode("op/config", CONFIG).catalog
         route = catalog.routes[0]
         assert (catalog.version, route.kind) == (7, CallKind.STREAM)
@@ -149,20 +149,20 @@
         st.sampled_from(sorted(CONFIG)),
         st.one_of(st.none(), st.integers(-5, 5), st.text(), st.lists(st.integers())),
     )
-    def test_a_damaged_configuration_is_named_and_not_half_used(self, field, value):
+    def test_a_damaged_configuration_is_decoded_or_unusable(self, field, value):
         fact = decode("op/config", CONFIG | {field: value})
         assert isinstance(fact, CatalogFact | UnusableFact)
 
-    def test_a_removed_configuration_takes_nothing_away(self):
+    def test_a_removed_configuration_is_ignored(self):
         assert decode("op/config", None) is None
 
 
 class TestDataCentres:
-    def test_one_that_is_left_and_taken_back(self):
+    def test_an_excluded_and_an_included_data_centre(self):
         assert decode("op/evacuate/fes-1", b"{}") == CentreFact("fes-1", excluded=True)
         assert decode("op/evacuate/fes-1", None) == CentreFact("fes-1", excluded=False)
 
 
 class TestOtherItems:
-    def test_they_concern_nobody(self):
+    def test_other_keys_are_ignored(self):
         assert decode("my/leader", b"x") is None
--- a/packages/fulmarroad-serving/tests/test_platform_settings.py
+++ b/packages/fulmarroad-serving/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Parsing of the platform's settings file."""
 
 import pytest
 
@@ -34,7 +34,7 @@
 
 
 class TestSettings:
-    def test_a_file(self, path):
+    def test_a_valid_file(self, path):
         settings = load_settings(path, 7410)
         serving = settings.serving
         assert (serving.router, serving.data_centre) == ("edge-a-1", "a")
@@ -54,11 +54,11 @@
             ("[Platform]", "[Platform"),
         ],
     )
-    def test_a_fault_is_named(self, path, before, after):
+    def test_an_invalid_file_raises_configuration_error(self, path, before, after):
         path.write_text(TEXT.replace(before, after))
         with pytest.raises(ConfigurationError):
             load_settings(path, 7410)
 
-    def test_seeds_are_read_again(self, path):
+    def test_seeds_are_read_from_a_changed_file(self, path):
         path.write_text(TEXT.replace("10.2.0.18", "10.3.0.4"))
         assert read_seeds(path) == ("10.1.0.33", "10.3.0.4")
--- a/packages/fulmarroad-serving/tests/test_reading.py
+++ b/packages/fulmarroad-serving/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Reading the store, and news that come by peers, in virtual time or on loopback."""
+"""Store reads and replication between peers, in virtual time or on loopback."""
 
 import random
 
@@ -47,7 +47,7 @@
 
 
 class FakeStore:
-    """A store in memory that can be away or lose its history."""
+    """In-memory store that can be unreachable or lose its history."""
 
     def __init__(self):
         self.items = {}
@@ -78,8 +78,8 @@
             while self.at <= at:
                 await anyio.sleep(0.02)
         await self._answer()
-        news = tuple(row for row in self.items.values() if row.revision > at)
-        return Listing(self.at, news)
+        changed = tuple(row for row in self.items.values() if row.revision > at)
+        return Listing(self.at, changed)
 
     async def _answer(self):
         await anyio.sleep(0.004)
@@ -103,7 +103,7 @@
 
 
 def read(test):
-    """Run a test beside a reader of a fake store, in virtual time."""
+    """Run a test concurrently with a reader of a fake store, in virtual time."""
 
     async def go():
         store = FakeStore()
@@ -129,7 +129,7 @@
 
 
 class TestReader:
-    def test_a_change_is_known_well_within_its_bound(self):
+    def test_a_change_is_applied_within_its_time_bound(self):
         async def test(store, beliefs, servers):
             store.put("op/config", b"8")
             store.remove("servers/s-1")
@@ -140,8 +140,8 @@
         read(test)
 
     def test_a_lost_history_is_read_anew(self):
-        """The store drops its history while a server leaves. The changes asked for are
-        gone, and a router that only went on watching would use the server for ever.
+        """The store drops its history while a server is removed. A router that only
+        kept watching would never see the removal and would use the server forever.
         """
 
         async def test(store, beliefs, servers):
@@ -154,8 +154,9 @@
         read(test)
 
     def test_servers_stay_in_use_while_the_store_is_away(self):
-        """The store is away for six seconds, its entries lapse and are written again a
-        second after its return. Callers must not notice.
+        """The store is unreachable for six seconds; its entries expire and one is
+        written again a second after its return. Running servers must stay in use
+        meanwhile.
         """
 
         async def test(store, beliefs, servers):
@@ -173,7 +174,7 @@
 
         read(test)
 
-    def test_a_lower_version_changes_nothing(self):
+    def test_a_lower_catalog_version_is_ignored(self):
         async def test(store, beliefs, servers):
             store.put("op/config", b"6")
             await anyio.sleep(0.5)
@@ -183,7 +184,7 @@
 
 
 class Fleet:
-    """Peers on loopback addresses of their own, without a store unless given one."""
+    """Routers on separate loopback addresses that share a fake store."""
 
     def __init__(self, names):
         self.store = FakeStore()
@@ -242,36 +243,37 @@
         fleet.run(test)
 
     def test_a_router_that_the_store_turns_away_learns_from_a_peer(self):
-        """The store refuses one router while a key is withdrawn and a server leaves. It
-        would go on serving the key and sending to the server.
+        """The store refuses one router while a key is revoked and a server is removed.
+        Without the peer's changes the router would accept the key and use the server.
         """
         fleet = Fleet(["a", "b"])
 
         async def test():
-            _, told, _ = fleet.nodes["a"]
-            dispatcher, learns, _ = fleet.nodes["b"]
+            _, informed_state, _ = fleet.nodes["a"]
+            dispatcher, reading_state, _ = fleet.nodes["b"]
             items = [
                 ReplicaItem("op/config", 2, b"7"),
                 ReplicaItem("servers/s", 3, b"x"),
             ]
-            told.apply_listing(items, 3, 60.0, "store")
-            await until(lambda: learns.catalog.version == 7)
+            informed_state.apply_listing(items, 3, 60.0, "store")
+            await until(lambda: reading_state.catalog.version == 7)
             change = [
                 ReplicaItem("op/config", 4, b"9"),
                 ReplicaItem("servers/s", 5, None),
             ]
             fleet.ages["a"] = (0.1, 60.0)
-            told.apply_changes(change, 5, 60.0, "store")
-            await until(lambda: learns.catalog.version == 9)
+            informed_state.apply_changes(change, 5, 60.0, "store")
+            await until(lambda: reading_state.catalog.version == 9)
             await until(lambda: not dispatcher.registry.rows())
 
         for _, beliefs, peers in fleet.nodes.values():
             beliefs.on_change = peers.trigger_report
         fleet.run(test)
 
-    def test_a_peer_that_falls_silent_is_told_once(self, caplog):
-        """A router is lost. Operators look for one line that says so; a name that was
-        only heard of, of a router that never spoke, must not send them looking.
+    def test_a_silent_peer_is_logged_once(self, caplog):
+        """When a router fails, its peers log a single line for operators. A router that
+        is known only from other peers' reports and never sent one itself must not be
+        logged.
         """
         fleet = Fleet(["a", "b"])
         _, _, peers = fleet.nodes["b"]
@@ -282,33 +284,35 @@
             heard = peers._tell_changes(heard, 10.2)
             heard = peers._tell_changes(heard, 13.0)
             peers._tell_changes(heard, 13.3)
-        told = [(row.name_of_event, row.peer) for row in caplog.records]
-        assert told == [("peer_heard", "a"), ("peer_silent", "a")]
+        events = [(row.name_of_event, row.peer) for row in caplog.records]
+        assert events == [("peer_heard", "a"), ("peer_silent", "a")]
 
-    def test_loads_and_counts_are_told(self):
+    def test_loads_and_workspace_counts_are_reported(self):
         fleet = Fleet(["a", "b"])
 
         async def test():
             sender, _, _ = fleet.nodes["a"]
-            hears, _, _ = fleet.nodes["b"]
+            receiver, _, _ = fleet.nodes["b"]
             now = anyio.current_time()
             sender.load("s").send("s", 9_000, now)
             sender.shares.note_asked("coop", 500.0, now)
-            await until(lambda: hears.load("s").total_running(anyio.current_time()))
-            await until(lambda: hears.shares._peers["a"][1]["coop"].asked == 500.0)
+            await until(lambda: receiver.load("s").total_running(anyio.current_time()))
+            await until(lambda: receiver.shares._peers["a"][1]["coop"].asked == 500.0)
 
         fleet.run(test)
 
-    def test_a_large_prompt_is_told_before_the_next_report_is_due(self, monkeypatch):
-        """One router sends a prompt that keeps an engine busy for a fifth of a second.
-        Until its next report the others take the engine for idle, and what they send
-        there begins late.
+    def test_a_large_prompt_is_reported_before_the_next_report_is_due(
+        self, monkeypatch
+    ):
+        """A large prompt keeps an engine busy for a fifth of a second. Until the next
+        report the other routers treat the engine as idle, and calls that they send
+        there start late.
         """
         fleet = Fleet(["a", "b"])
 
         async def test():
             sender, _, peers = fleet.nodes["a"]
-            hears, _, _ = fleet.nodes["b"]
+            receiver, _, _ = fleet.nodes["b"]
             await until(
                 lambda: all(len(r[0].routers) == 2 for r in fleet.nodes.values())
             )
@@ -317,11 +321,11 @@
             now = anyio.current_time()
             sender.load("s").send("s", 20_000, now)
             peers.trigger_load_report()
-            await until(lambda: hears.load("s").total_running(anyio.current_time()))
+            await until(lambda: receiver.load("s").total_running(anyio.current_time()))
 
         fleet.run(test)
 
-    def test_one_router_of_a_data_centre_reads_and_others_if_it_falls_silent(self):
+    def test_one_router_per_data_centre_reads_and_all_do_without_answers(self):
         fleet = Fleet(["a", "b"])
 
         async def test():
@@ -338,11 +342,11 @@
         fleet.run(test)
 
     def test_a_router_that_starts_asks_its_peers_before_the_store(self):
-        """Two hundred routers start at once. Each lists the whole store, which counts
-        every call of all of them, though three copies would do for all.
+        """Two hundred routers start at once. If each listed the whole store, it would
+        count the calls of all of them although three listings are enough.
         """
         fleet = Fleet(["a", "b"])
-        (_, _, seed), (_, learns, other) = fleet.nodes.values()
+        (_, _, seed), (_, reading_state, other) = fleet.nodes.values()
 
         async def test():
             await anyio.sleep(0.05)
@@ -350,12 +354,12 @@
             assert not other.reads_store()
             items = [ReplicaItem("op/config", 2, b"7")]
             fleet.nodes["a"][1].apply_listing(items, 2, 60.0, "store")
-            await until(lambda: learns.replica.known)
+            await until(lambda: reading_state.replica.known)
 
         fleet.run(test)
 
-    def test_a_router_without_peers_soon_reads_for_itself(self):
-        """The seeds that a router was given are gone for good."""
+    def test_a_router_without_peers_reads_the_store_soon(self):
+        """None of the seeds in a router's settings exists any more."""
         fleet = Fleet(["a", "b"])
         _, (_, _, other) = fleet.nodes.values()
         other.seeds = ("127.0.0.99",)
@@ -371,8 +375,8 @@
         fleet.run(test)
 
     def test_a_router_that_starts_is_soon_known(self):
-        """All routers were killed and start again. Until they know each other each of
-        them decides by its own calls alone, and the engines fill up.
+        """All routers are killed and restart. Until they discover each other, each sees
+        only its own calls and together they overload the engines.
         """
         fleet = Fleet(["a", "b", "c"])
 
@@ -385,9 +389,9 @@
 
         fleet.run(test)
 
-    def test_a_report_that_cannot_go_is_told_and_ends_nothing(self, caplog):
-        """A report is longer than a packet may be. The task that sends reports must not
-        end with it: peers would take this router for lost.
+    def test_a_report_that_cannot_be_sent_is_logged_and_raises_nothing(self, caplog):
+        """A report exceeds the maximum size of a packet. The error must not end the
+        task that sends reports, or peers would consider this router failed.
         """
         [(_, _, peers)] = Fleet(["a"]).nodes.values()
 
@@ -404,12 +408,12 @@
         assert [row.name_of_event for row in caplog.records] == ["report_unsent"]
 
 
-class TestCopies:
+class TestReplicaSync:
     def test_a_peer_that_cannot_be_reached_does_not_keep_the_news_back(self):
-        """Two data centres can't reach each other and a third one reaches both, so that
-        a router hears of a newer copy over there and can't get it. Others nearby know
-        nearly as much; without asking them it would go on sending to servers that have
-        left for as long as the cut lasts.
+        """Two data centres can't reach each other but both reach a third, so a router
+        learns of a newer copy in the other one and can't fetch it. Unless it asks
+        nearby peers with a slightly older copy, it sends calls to removed servers as
+        long as the partition lasts.
         """
 
         async def test():
@@ -442,20 +446,20 @@
         run_virtual(test)
 
     @pytest.mark.parametrize("row", [[], {}, 7, [float("inf")], ["x"], None])
-    def test_a_question_of_another_format_is_told(self, row):
-        """A peer of another release asks in another way. Any other error than the one
-        that is told would end the task that gives copies to all peers.
+    def test_a_request_of_another_format_raises_message_error(self, row):
+        """A peer of another release sends a request of another format. Any error other
+        than `MessageError` would end the task that serves copies to all peers.
         """
         with pytest.raises(MessageError):
             _read_asked(msgpack.packb(row))
 
     @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93\x01"])
-    def test_bytes_of_no_format_are_told(self, data):
+    def test_malformed_bytes_raise_message_error(self, data):
         for read in (_read_asked, _read_delta):
             with pytest.raises(MessageError):
                 read(data)
 
-    def test_a_revision_without_end_is_told(self):
+    def test_an_infinite_revision_raises_message_error(self):
         with pytest.raises(MessageError):
             _read_delta(msgpack.packb([float("inf"), True, []]))
 
@@ -468,9 +472,10 @@
         assert [row.router for row in book.alive(11.0)] == ["a", "b"]
         assert book.alive(12.5) == []
 
-    def test_hearsay_of_a_lost_router_does_not_keep_it_alive(self):
-        """A router is gone, and the others go on naming it to each other. Each time the
-        age of its last report goes along, or it would seem alive for ever.
+    def test_forwarded_entries_do_not_keep_a_failed_router_alive(self):
+        """A router has failed and the others keep forwarding its entry to each other.
+        Each entry carries the age of the last report; without it the router would seem
+        alive forever.
         """
         book, other = PeerBook("z", "127.0.0.9"), PeerBook("y", "127.0.0.8")
         book.receive_report(TestReports.REPORT, 10.0)
@@ -482,7 +487,7 @@
                 book.merge_member(member, now)
         assert book.alive(12.9) == other.alive(12.9) == []
 
-    def test_hearsay_does_not_replace_a_routers_own_newer_word(self):
+    def test_a_forwarded_entry_does_not_replace_a_newer_report(self):
         book = PeerBook("z", "127.0.0.9")
         book.receive_report(TestReports.REPORT, 10.0)
         old = evolve(TestReports.KNOWN, router="a", sequence=3, host="127.0.0.77")
@@ -498,9 +503,9 @@
         )
 
     def test_a_router_whose_time_of_day_was_set_back_is_heard_after_its_restart(self):
-        """The time of day of a VM is set back by seconds and its router starts again.
-        The new start looks older than the one before: peers would ignore its reports,
-        and send to engines that it has filled, until they had forgotten the former.
+        """A VM's wall clock is set back by seconds and its router restarts, so the new
+        incarnation is lower than the previous one. Peers would ignore its reports and
+        send calls to engines that it has filled until they forget the previous run.
         """
         book = PeerBook("z", "127.0.0.9")
         book.receive_report(TestReports.REPORT, 10.0)
@@ -511,8 +516,9 @@
         assert book.receive_report(evolve(again, sequence=6), 11.3)
 
     def test_a_router_that_stood_still_believes_nothing_it_heard_before(self):
-        """A VM is frozen for five seconds. Going by loads and readers of before, it
-        would fill engines that are busy now and take nobody's news.
+        """A VM is frozen for five seconds. With the loads and readers known before, its
+        router would send calls to engines that are busy now and wait for a reader that
+        may be gone.
         """
         fleet = Fleet(["a", "b"])
         dispatcher, _, peers = fleet.nodes["b"]
@@ -527,7 +533,7 @@
         assert dispatcher.load("s").total_running(clock[0]) == 0
         assert dispatcher.routers == ["a", "b"]
 
-    def test_a_router_that_is_gone_for_long_no_longer_counts(self):
+    def test_a_router_without_reports_is_forgotten_in_the_end(self):
         book = PeerBook("z", "127.0.0.9")
         book.receive_report(TestReports.REPORT, 10.0)
         assert "a" not in book.known_routers(10.0 + REMEMBERED_S)
@@ -551,15 +557,15 @@
         ((17, "s"),),
     )
 
-    def test_a_report_is_read_as_it_was_written(self):
+    def test_a_report_is_unchanged_by_packing_and_unpacking(self):
         assert unpack_report(pack_report(self.REPORT)) == self.REPORT
 
     @pytest.mark.parametrize("data", [b"", b"\x01", b"\x91\x63", b"{}", b"\x91\x01"])
-    def test_other_bytes_are_no_report(self, data):
+    def test_malformed_reports_are_rejected(self, data):
         with pytest.raises(MessageError):
             unpack_report(data)
 
-    def test_every_cut_report_is_none(self):
+    def test_every_truncated_report_is_rejected(self):
         whole = pack_report(self.REPORT)
         for end in range(len(whole)):
             with pytest.raises(MessageError):
--- a/packages/fulmarroad-serving/tests/test_registry.py
+++ b/packages/fulmarroad-serving/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Which backend servers may get work."""
+"""Backend servers that are usable, cold, restarted or removed."""
 
 from attrs import evolve
 
@@ -19,7 +19,7 @@
         registry.put(evolve(SERVER, draining=True), 1.0)
         assert usable(registry) == []
 
-    def test_a_removed_server_is_gone_at_once(self):
+    def test_a_removed_server_gets_nothing_at_once(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
         assert registry.remove("s-1", 1.0)
@@ -35,27 +35,27 @@
 
 
 class TestStarts:
-    def test_a_router_that_starts_finds_servers_that_have_run(self):
-        """A router is restarted among servers that have read their parts. Taking them
-        for new ones, it would have neighbours read all those parts again for seconds.
+    def test_servers_in_the_first_listing_have_been_running(self):
+        """A router restarts among servers that have cached their prompt parts. Treated
+        as new, each would fetch these parts again from its neighbours for seconds.
         """
         registry = Registry()
         registry.put(SERVER, 100.0)
         assert 100.0 - registry.get("s-1").started_at > 3600.0
 
-    def test_a_server_that_warms_up_has_just_started(self):
+    def test_a_server_that_is_warming_up_has_just_started(self):
         registry = Registry()
         registry.put(evolve(SERVER, warmup_left_s=3.0), 100.0)
         assert registry.get("s-1").started_at == 100.0
 
-    def test_a_server_that_comes_later_has_just_started(self):
+    def test_a_server_added_after_the_first_listing_has_just_started(self):
         registry = Registry()
         registry.put(SERVER, 100.0)
         registry.note_listed()
         registry.put(evolve(SERVER, id="s-2"), 130.0)
         assert registry.get("s-2").started_at == 130.0
 
-    def test_a_new_start_under_the_same_id_has_just_started(self):
+    def test_a_server_restarted_under_its_id_has_just_started(self):
         registry = Registry()
         registry.put(SERVER, 100.0)
         registry.note_listed()
@@ -64,9 +64,9 @@
 
 
 class TestLapsedEntries:
-    def test_servers_stay_while_their_entries_may_come_back(self):
-        """The store was away and every entry lapsed, although the servers live. Dropped
-        at once, they would leave every caller with a refusal for two seconds.
+    def test_servers_stay_usable_while_their_entries_may_be_rewritten(self):
+        """Every entry expires in a store outage although the servers run. Removing them
+        at once would make the router refuse every call for two seconds.
         """
         registry = Registry()
         registry.put(SERVER, 0.0)
@@ -75,16 +75,16 @@
         assert registry.expire(10.0 + LAPSE_GRACE_S - 0.6) == []
         assert registry.expire(10.0 + LAPSE_GRACE_S - 0.5) == ["s-1"]
 
-    def test_an_entry_that_is_back_keeps_its_server(self):
+    def test_a_rewritten_entry_keeps_its_server(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
         registry.remove("s-1", 10.0, store_failure_age_s=0.0)
         registry.put(SERVER, 11.0)
         assert registry.expire(20.0) == []
 
-    def test_a_draining_server_does_not_come_back(self):
-        """A server that was leaving before the outage has left. Kept in use, it would
-        get calls long after its time.
+    def test_a_draining_server_gets_no_grace_period(self):
+        """A server that was draining before a store outage has stopped since. Keeping
+        it in use would send it calls long after its removal.
         """
         registry = Registry()
         registry.put(evolve(SERVER, draining=True), 0.0)
@@ -92,16 +92,16 @@
 
 
 class TestWarmth:
-    def test_a_new_start_under_the_same_id_is_cold(self):
+    def test_a_server_restarted_under_its_id_is_cold(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
         assert registry.put(evolve(SERVER, started_ms=5, warmup_left_s=3.0), 10.0)
         assert registry.get("s-1").cold(12.9)
         assert not registry.get("s-1").cold(13.1)
 
-    def test_a_broken_connection_counts_as_a_cold_start_until_the_entry_tells(self):
-        """A server crashes and is back within the second, cold; its entry is written a
-        second later. Calls at the usual rate meanwhile would crash it again.
+    def test_a_server_is_cold_after_a_broken_connection_until_its_entry_arrives(self):
+        """A server crashes and restarts cold within a second, and its entry is written
+        a second later. Calls at the usual rate until then would crash it again.
         """
         registry = Registry()
         registry.put(SERVER, 0.0)
@@ -110,6 +110,6 @@
         registry.put(SERVER, 11.0)
         assert not registry.get("s-1").cold(11.0)
 
-    def test_the_bound_of_a_cold_server(self):
+    def test_the_call_rate_bound_of_a_cold_server(self):
         service = Service("drafting", warmup_rate=12.0)
         assert cold_bound(service, 1.5, 5.0) == 23.0
--- a/packages/fulmarroad-serving/tests/test_replica.py
+++ b/packages/fulmarroad-serving/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Copies of the store that routers keep and hand on."""
+"""Copies of the store that routers keep and pass to each other."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,23 +12,23 @@
 
 class TestMerging:
     def test_an_older_item_that_comes_late_changes_nothing(self):
-        """A router hears a change from the store and later, from a slow peer, the value
-        before it. Taken over, a withdrawn key would be valid again.
+        """A router gets a change from the store and later the former value from a slow
+        peer. Applying that value would make a revoked key valid again.
         """
         copy = StateReplica()
         copy.replace([item("a", 5)], 5)
         assert copy.merge([item("a", 4, b"old")], 4) == ()
         assert copy.at == 5
 
-    def test_a_listing_deletes_what_it_lacks(self):
+    def test_a_listing_deletes_keys_that_it_does_not_contain(self):
         copy = StateReplica()
         copy.replace([item("a", 1), item("b", 2)], 2)
-        fresh = copy.replace([item("a", 1)], 9)
-        assert fresh == (ReplicaItem("b", 9),)
+        changed = copy.replace([item("a", 1)], 9)
+        assert changed == (ReplicaItem("b", 9),)
 
     def test_a_listing_older_than_the_copy_deletes_nothing(self):
-        """A peer that was cut off for a while gives its whole copy. It lacks what was
-        written since, and servers that live would be dropped.
+        """A peer that was cut off sends its whole copy, which misses recent writes.
+        Deleting what it doesn't contain would remove running servers.
         """
         copy = StateReplica()
         copy.replace([item("a", 1)], 5)
@@ -36,16 +36,16 @@
         assert copy.replace([item("a", 1)], 6) == ()
 
     def test_an_item_that_was_deleted_before_the_listing_does_not_come_back(self):
-        """A router asks a peer for news, reads a whole listing before the answer is
-        there, and the answer names a server that has left meanwhile. Taken in, the
-        server would get calls for good, as its removal is never told again.
+        """A router asks a peer for changes and reads a newer listing before the
+        response arrives. The response names a server removed in between. Adding it
+        would keep the server in use forever, as its removal is not sent again.
         """
         copy = StateReplica()
         copy.replace([item("a", 1)], 9)
         assert copy.merge([item("gone", 7)], 8) == ()
         assert copy.replace([item("a", 1), item("gone", 7)], 8) == ()
 
-    def test_news_are_told_only_where_something_changed(self):
+    def test_the_change_position_moves_only_when_an_item_changes(self):
         copy = StateReplica()
         copy.replace([item("a", 1)], 3)
         copy.merge([], 8)
@@ -53,7 +53,7 @@
 
 
 class TestHandingOn:
-    def test_a_peer_gets_only_what_it_lacks(self):
+    def test_a_peer_gets_only_the_items_it_is_missing(self):
         copy = StateReplica()
         copy.replace([item("a", 1)], 1)
         copy.merge([item("b", 2), ReplicaItem("a", 3)], 3)
@@ -62,9 +62,9 @@
         assert delta.items == (ReplicaItem("a", 3),)
 
     def test_a_peer_that_saw_what_a_listing_no_longer_names_gets_the_whole_copy(self):
-        """A router starts and lists after a server has left. A peer that the store
-        turns away still has the server, asks this router for news and would never hear
-        of the removal: calls would go to a server that is gone.
+        """A router starts and lists the store after a server was removed. A peer that
+        the store refuses still has the server and asks this router for changes. A delta
+        without the removal would leave the server in use at that peer.
         """
         peer, started = StateReplica(), StateReplica()
         peer.replace([item("a", 1), item("server", 2)], 2)
@@ -73,9 +73,9 @@
         assert delta.is_snapshot
         assert peer.apply_delta(delta) == (ReplicaItem("server", 4),)
 
-    def test_a_peer_that_lacks_forgotten_deletions_gets_the_whole_copy(self):
-        """Deletions are remembered in a limited number. A peer that was away for longer
-        would keep servers that are gone if it got only the newest changes.
+    def test_a_peer_that_misses_pruned_deletions_gets_the_whole_copy(self):
+        """Only a limited number of deletions is kept. A peer that was away for longer
+        would keep removed servers if it got the latest changes only.
         """
         copy = StateReplica()
         copy.replace([item(f"k{n}", 1) for n in range(600)], 1)
@@ -84,7 +84,7 @@
         late.replace([item(f"k{n}", 1) for n in range(600)], 1)
         assert len(late.apply_delta(copy.since(late.at))) == 600
 
-    def test_nothing_is_taken_from_a_peer_that_knows_nothing(self):
+    def test_the_delta_of_an_empty_peer_changes_nothing(self):
         copy = StateReplica()
         copy.replace([item("a", 1)], 1)
         assert copy.apply_delta(StateReplica().since(0)) == ()
@@ -95,7 +95,7 @@
         st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=30),
         st.data(),
     )
-    def test_copies_agree_whatever_way_the_news_take(self, writes, data):
+    def test_copies_converge_whichever_way_changes_arrive(self, writes, data):
         store, direct, behind = {}, StateReplica(), StateReplica()
         direct.replace([], 1)
         for revision, (key, deleted) in enumerate(writes, start=2):
--- a/packages/fulmarroad-serving/tests/test_store_returns.py
+++ b/packages/fulmarroad-serving/tests/test_store_returns.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old and counts its revisions anew."""
+"""A store that is restored from a copy some seconds old and assigns revisions again."""
 
 import logging
 
@@ -50,8 +50,8 @@
 ROUTERS = st.sampled_from("ab")
 SERVERS = st.sampled_from(["s1", "s2", "s3"])
 
-CONFIG_S = 2.0
-"""Time within which a change must be in force."""
+CHANGE_BOUND_S = 2.0
+"""Time in seconds within which a change must be in force."""
 
 
 def config(version, *hosts):
@@ -84,7 +84,7 @@
 
 
 class Router:
-    """One router's beliefs, read from a store."""
+    """State of one router that reads from a store."""
 
     def __init__(self, port):
         clock = anyio.current_time
@@ -95,9 +95,9 @@
         self.reader = StoreReader(store, self.beliefs, lambda: True, clock, 1)
 
     async def catch_up(self, store):
-        """Wait until all that the store says is known."""
+        """Wait until the router has read all changes of the store."""
         newest = position(store.era if store.states_era else 0, store.revision)
-        with anyio.fail_after(CONFIG_S):
+        with anyio.fail_after(CHANGE_BOUND_S):
             while self.beliefs.replica.at != newest:
                 await anyio.sleep(0.01)
 
@@ -111,7 +111,7 @@
 
 
 def read(test, **more):
-    """Run a test beside a router that reads a stand-in store."""
+    """Run a test concurrently with a router that reads a fake store."""
 
     async def go():
         store = FakePlatformStore(**more)
@@ -135,16 +135,18 @@
     anyio.run(go)
 
 
-class TestLines:
-    def test_a_listing_that_changes_nothing_shows(self, caplog):
-        """A copy that is ahead of the store throws listings away; no line said so."""
+class TestLogLines:
+    def test_each_listing_is_logged_with_its_era(self, caplog):
+        """A copy that is ahead of the store discards listings; the log used to show no
+        sign of it.
+        """
         caplog.set_level(logging.INFO, "fulmarroad.serving")
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("op/config", config(8, "a.example"))
             await router.catch_up(store)
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             await router.catch_up(store)
 
         read(test)
@@ -157,37 +159,38 @@
 
 
 class TestReturns:
-    def test_what_is_written_after_the_return_is_in_force_in_time(self):
-        """The store counts its revisions anew from an older one. What is written then
-        has numbers that were seen before: a route that was added was answered 404, and
-        a server that had said it leaves still got calls.
+    def test_writes_after_a_restore_are_in_force_in_time(self):
+        """A restored store assigns revisions that routers have seen before to new
+        writes. Routers that ignored these writes answered 404 for an added route and
+        sent calls to a draining server.
         """
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             for n in range(6):
                 store.put("op/config", config(8 + n, "a.example"))
             await anyio.sleep(0.4)
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             await anyio.sleep(0.4)
             store.put("op/config", config(20, "a.example", "b.example"))
             store.put("servers/s-1", entry("draining", 2))
-            await anyio.sleep(CONFIG_S)
+            await anyio.sleep(CHANGE_BOUND_S)
             assert router.serves("b.example")
             assert router.usable() == ["s-2"]
 
         read(test)
 
-    def test_numbers_given_out_again_do_not_hide_what_was_written(self):
-        """While nobody reads, the store counts past the number that a router has seen.
-        A watch from there is answered, and lacks what was written below it.
+    def test_reassigned_revisions_do_not_hide_writes(self):
+        """While no router reads, a restored store passes the last revision that a
+        router has seen. A watch from that revision succeeds but misses the writes below
+        it.
         """
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("op/config", config(8, "a.example"))
             await router.catch_up(store)
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             store.put("servers/s-1", entry("draining", 2))
             for n in range(9):
                 store.put("op/other", n)
@@ -196,56 +199,60 @@
 
         read(test)
 
-    def test_two_returns_in_a_row(self):
+    def test_two_restores_in_a_row(self):
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             for version in (20, 30):
                 store.put("op/config", config(version - 1, "a.example"))
                 await router.catch_up(store)
-                store.restore_copy(kept)
+                store.restore_copy(backup)
                 store.put("op/config", config(version, f"v{version}.example"))
             await router.catch_up(store)
             assert router.serves("v30.example")
 
         read(test)
 
-    def test_the_version_does_not_go_back_with_the_store(self):
-        """A key was revoked; the copy from which the store comes back still has it."""
+    def test_a_restore_does_not_lower_the_catalog_version(self):
+        """A key was revoked, but the copy from which the store is restored still
+        contains it.
+        """
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("op/config", config(8, "b.example"))
             await router.catch_up(store)
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             await router.catch_up(store)
             assert router.beliefs.catalog.version == 8
             assert router.serves("b.example")
 
         read(test)
 
-    def test_a_server_that_said_it_leaves_stays_unused(self):
-        """The copy shows the server as it was before its word, or before its end."""
+    def test_a_drained_or_removed_server_stays_unused_after_a_restore(self):
+        """The copy shows one server before it started draining and one before its
+        removal.
+        """
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("servers/s-1", entry("draining", 2))
             store.remove("servers/s-2")
             store.put("servers/s-3", entry())
             await router.catch_up(store)
             assert router.usable() == ["s-3"]
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             store.put("servers/s-3", entry(sequence=2))
             await router.catch_up(store)
             assert router.usable() == ["s-3"]
 
         read(test)
 
-    def test_a_server_that_the_copy_lacks_is_kept_until_it_writes_again(self):
+    def test_a_server_missing_from_the_copy_is_kept_for_the_grace_period(self):
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("servers/s-3", entry())
             await router.catch_up(store)
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             await router.catch_up(store)
             assert router.usable() == ["s-1", "s-2", "s-3"]
             await anyio.sleep(LAPSE_GRACE_S + 0.1)
@@ -253,15 +260,15 @@
 
         read(test)
 
-    def test_a_data_centre_that_was_to_get_nothing_stays_so(self):
-        """Its evacuation was acknowledged and is not in the copy."""
+    def test_an_excluded_data_centre_stays_excluded_after_a_restore(self):
+        """Its evacuation was acknowledged but is missing from the copy."""
 
         async def test(store, router):
-            kept = store.save_copy()
+            backup = store.save_copy()
             store.put("op/evacuate/fes", {})
             await router.catch_up(store)
             assert router.usable() == []
-            store.restore_copy(kept)
+            store.restore_copy(backup)
             await router.catch_up(store)
             assert router.usable() == []
             store.put("op/evacuate/fes", {})
@@ -271,8 +278,8 @@
 
         read(test)
 
-    def test_a_store_that_refuses_each_watch_is_not_listed_without_a_pause(self):
-        """Each call to the store is paid for, and its calls are limited."""
+    def test_a_store_that_refuses_every_watch_is_listed_with_pauses(self):
+        """Calls to the store are limited, and each of them has a cost."""
 
         async def test(store, router):
             store.refuses_watches = True
@@ -283,10 +290,10 @@
 
         read(test)
 
-    def test_a_store_that_states_no_era_is_read_as_before(self):
+    def test_a_store_that_states_no_era_is_read_as_era_zero(self):
         async def test(store, router):
             store.put("op/config", config(8, "b.example"))
-            await anyio.sleep(CONFIG_S)
+            await anyio.sleep(CHANGE_BOUND_S)
             assert router.serves("b.example")
             assert era_of(router.beliefs.replica.at) == 0
 
@@ -294,16 +301,16 @@
 
 
 class TestPeers:
-    def test_a_peer_that_was_cut_off_brings_nothing_of_the_old_history_back(self):
+    def test_a_partitioned_peer_does_not_bring_back_the_old_history(self):
         behind, ahead = StateReplica(), StateReplica()
         behind.replace([ReplicaItem("a", position(1, 50), b"old")], position(1, 60))
         ahead.replace([ReplicaItem("a", position(2, 7), b"new")], position(2, 8))
         assert ahead.apply_delta(behind.since(0)) == ()
-        fresh = behind.apply_delta(ahead.since(behind.at))
-        assert fresh == (ReplicaItem("a", position(2, 7), b"new"),)
+        changed = behind.apply_delta(ahead.since(behind.at))
+        assert changed == (ReplicaItem("a", position(2, 7), b"new"),)
         assert behind.at == position(2, 8)
 
-    def test_a_copy_is_handed_on_with_its_era(self):
+    def test_a_delta_carries_the_era(self):
         items = (
             ReplicaItem("a", position(1, 50), b"x"),
             ReplicaItem("b", position(2, 7)),
@@ -312,9 +319,9 @@
         assert _read_delta(_delta_bytes(delta), era=9) == delta
         assert _read_asked(_asked_bytes(position(2, 8)), era=9) == position(2, 8)
 
-    def test_routers_of_the_version_before_are_heard_in_the_era_known_here(self):
-        """They state revisions alone. Taken for the first era, what they read from the
-        store would never be pulled while a fleet is renewed.
+    def test_messages_of_the_previous_release_use_the_receivers_era(self):
+        """Routers of the previous release state revisions without an era. Read as the
+        first era, their changes would never be pulled during a rolling upgrade.
         """
         old = msgpack.packb([8, False, [["a", 7, b"x"]]])
         assert _read_delta(old, era=3).items == (
@@ -330,7 +337,7 @@
         assert read_member(member[:10], era=3).news_at == position(3, 44)
 
     @pytest.mark.parametrize(("era", "revision"), [(-1, 4), (1, -1), (1, 1 << 60)])
-    def test_a_position_out_of_range_is_told(self, era, revision):
+    def test_a_position_out_of_range_raises_an_error(self, era, revision):
         with pytest.raises(ValueError):
             position(era, revision)
         with pytest.raises(MessageError):
@@ -339,24 +346,24 @@
 
 class TestDoubts:
     def make(self):
-        """Return beliefs that were told of a server's leaving before a return."""
+        """Return a router state that contains a server's removal before the restore."""
         now = [100.0]
         dispatcher = Dispatcher("a", "fes", FleetBounds())
         pool = ConnectionPool(lambda: now[0])
         beliefs = RouterState(Decoder(), dispatcher, pool, AuditTrail(), lambda: now[0])
         row = ReplicaItem("server/s1", position(1, 4), {"born": 7, "draining": False})
         beliefs.apply_listing([row], position(1, 5), 60.0, "store")
-        gone = ReplicaItem("server/s1", position(1, 6), None)
-        beliefs.apply_changes([gone], position(1, 6), 60.0, "store")
+        removal = ReplicaItem("server/s1", position(1, 6), None)
+        beliefs.apply_changes([removal], position(1, 6), 60.0, "store")
         return beliefs, dispatcher.registry, now
 
     def restore_copy(self, beliefs):
         row = ReplicaItem("server/s1", position(2, 4), {"born": 7, "draining": False})
         beliefs.apply_listing([row], position(2, 5), 60.0, "store")
 
-    def test_an_entry_that_still_stands_after_a_while_is_believed(self):
-        """The server's entry was removed by mistake and is right in the copy. Doubted
-        for good, the server would never get a call again.
+    def test_a_restored_entry_is_used_if_it_is_not_removed_again(self):
+        """A server's entry was removed by mistake and the copy has it. Ignored forever,
+        the entry would leave a running server without calls.
         """
         beliefs, registry, now = self.make()
         self.restore_copy(beliefs)
@@ -367,18 +374,18 @@
         beliefs.expire()
         assert registry.usable("drafting")
 
-    def test_an_entry_that_goes_meanwhile_is_not(self):
+    def test_a_restored_entry_that_is_removed_again_is_not_used(self):
         beliefs, registry, now = self.make()
         self.restore_copy(beliefs)
-        gone = ReplicaItem("server/s1", position(2, 9), None)
-        beliefs.apply_changes([gone], position(2, 9), 60.0, "store")
+        removal = ReplicaItem("server/s1", position(2, 9), None)
+        beliefs.apply_changes([removal], position(2, 9), 60.0, "store")
         now[0] += 2 * REWRITE_S
         beliefs.expire()
         assert not registry.usable("drafting")
 
-    def test_a_start_before_the_one_known_is_not_used(self):
-        """A server left, started anew and is shown as before both: the calls would name
-        a start that is over.
+    def test_a_run_older_than_the_known_one_is_not_used(self):
+        """A server stopped and restarted, and the copy shows its earlier run. Calls
+        would name a run that has ended.
         """
         beliefs, registry, _ = self.make()
         row = ReplicaItem("server/s1", position(1, 8), {"born": 9, "draining": False})
@@ -386,7 +393,7 @@
         self.restore_copy(beliefs)
         assert [row.instance.started_ms for row in registry.usable("drafting")] == [9]
 
-    def test_a_start_before_the_one_that_left_is_not_used(self):
+    def test_a_run_older_than_the_removed_one_is_not_used(self):
         beliefs, registry, _ = self.make()
         for revision, data in ((8, {"born": 9, "draining": False}), (9, None)):
             row = ReplicaItem("server/s1", position(1, revision), data)
@@ -394,26 +401,26 @@
         self.restore_copy(beliefs)
         assert not registry.usable("drafting")
 
-    def test_a_server_that_starts_anew_is_not_doubted(self):
+    def test_a_restarted_server_is_used_at_once(self):
         beliefs, registry, now = self.make()
         row = ReplicaItem("server/s1", position(2, 4), {"born": 8, "draining": False})
         beliefs.apply_listing([row], position(2, 5), 60.0, "store")
         assert registry.usable("drafting")
 
 
-class AnyReturn(RuleBasedStateMachine):
-    """The store comes back older at any time, and what it lost is written again.
+class AnyRestore(RuleBasedStateMachine):
+    """Restore the store from older copies and write the lost changes again.
 
-    Routers list, watch, or hear from each other. None goes back to an older version,
-    nor uses a server again that it was told has left; in the end all believe the store.
+    Routers list, watch, or pull from each other. None may go back to an older version
+    or use a server that it saw drain or leave. In the end all match the store.
     """
 
     def __init__(self):
         super().__init__()
         self.now = 100.0
         self.era, self.revision, self.version = 1, 1, 0
-        self.items, self.log, self.kept = {}, [], []
-        self.lost = {}
+        self.items, self.log, self.backup = {}, [], []
+        self.lost_writes = {}
         self.starts = 0
         self.left = {name: set() for name in "ab"}
         self.seen = dict.fromkeys("ab", 0)
@@ -428,7 +435,7 @@
 
     def write(self, key, value):
         self.revision += 1
-        self.lost.pop(key, None)
+        self.lost_writes.pop(key, None)
         item = ReplicaItem(key, position(self.era, self.revision), value)
         self.items[key] = item
         self.log.append(item)
@@ -444,7 +451,7 @@
         self.write(f"server/{server}", {"born": self.starts, "draining": False})
 
     @rule(server=SERVERS)
-    def a_server_says_that_it_leaves(self, server):
+    def a_server_starts_draining(self, server):
         known = self.items.get(f"server/{server}")
         if known is not None and known.data is not None:
             self.write(f"server/{server}", known.data | {"draining": True})
@@ -456,14 +463,14 @@
             self.write(f"server/{server}", None)
 
     @rule()
-    def the_store_keeps_a_copy(self):
-        self.kept = [(self.revision, dict(self.items))]
+    def the_store_is_backed_up(self):
+        self.backup = [(self.revision, dict(self.items))]
 
-    @precondition(lambda self: self.kept)
+    @precondition(lambda self: self.backup)
     @rule()
-    def the_store_comes_back_older(self):
-        newest = {key: item.data for key, item in self.items.items()} | self.lost
-        self.revision, items = self.kept[0]
+    def the_store_is_restored(self):
+        newest = {key: item.data for key, item in self.items.items()} | self.lost_writes
+        self.revision, items = self.backup[0]
         self.era += 1
         self.items = {
             key: ReplicaItem(
@@ -471,19 +478,19 @@
             )
             for key, item in items.items()
         }
-        self.kept = []
+        self.backup = []
         self.log = []
         self.since = self.revision
-        self.lost = {
+        self.lost_writes = {
             key: value
             for key, value in newest.items()
             if key not in items or items[key].data != value
         }
 
-    @precondition(lambda self: self.lost)
+    @precondition(lambda self: self.lost_writes)
     @rule()
-    def what_was_lost_is_written_again(self):
-        for key, value in list(self.lost.items()):
+    def lost_changes_are_written_again(self):
+        for key, value in list(self.lost_writes.items()):
             self.write(key, value)
 
     @rule(router=ROUTERS)
@@ -491,36 +498,36 @@
         beliefs, _ = self.routers[router]
         live = [item for item in self.items.values() if item.data is not None]
         beliefs.apply_listing(live, position(self.era, self.revision), 60.0, "store")
-        self.note_left()
+        self.record_left_runs()
 
     @rule(router=ROUTERS)
     def a_router_watches(self, router):
         beliefs, _ = self.routers[router]
         known = beliefs.replica.at
         if known and era_of(known) == self.era:
-            news = [item for item in self.log if item.revision > known]
+            new_items = [item for item in self.log if item.revision > known]
             beliefs.apply_changes(
-                news, position(self.era, self.revision), 60.0, "store"
+                new_items, position(self.era, self.revision), 60.0, "store"
             )
-            self.note_left()
+            self.record_left_runs()
 
     @rule(router=ROUTERS, other=ROUTERS)
-    def a_router_hears_from_another(self, router, other):
+    def a_router_pulls_from_another(self, router, other):
         beliefs, theirs = self.routers[router][0], self.routers[other][0]
         if router != other:
             beliefs.apply_delta(theirs.replica.since(beliefs.replica.at), 60.0, other)
-            self.note_left()
+            self.record_left_runs()
 
     @rule(seconds=st.floats(0.1, 3.0))
-    def time_goes_by(self, seconds):
-        if not self.lost:
+    def time_passes(self, seconds):
+        if not self.lost_writes:
             self.now += seconds
             for beliefs, _ in self.routers.values():
                 beliefs.expire()
 
     @rule()
-    def all_settles(self):
-        self.what_was_lost_is_written_again()
+    def all_routers_converge(self):
+        self.lost_changes_are_written_again()
         for name in self.routers:
             self.a_router_lists(name)
         self.now += REWRITE_S + LAPSE_GRACE_S
@@ -536,8 +543,8 @@
             rows = registry.rows()
             assert {r.instance.id: r.instance.started_ms for r in rows} == live
 
-    def note_left(self):
-        """Note what each router has been told to have left."""
+    def record_left_runs(self):
+        """Record the runs that each router has seen drain or leave."""
         for name, (beliefs, registry) in self.routers.items():
             for item in beliefs.replica.since(0).items:
                 if item.key.startswith("server/") and item.data["draining"]:
@@ -553,7 +560,7 @@
             self.seen[name] = beliefs.catalog.version
 
     @invariant()
-    def what_has_left_is_not_used(self):
+    def runs_that_left_are_not_used(self):
         for name, (_, registry) in self.routers.items():
             used = {
                 (row.instance.id, row.instance.started_ms)
@@ -563,7 +570,7 @@
 
 
 class Decoder:
-    """Read items as the machine writes them."""
+    """Decode items as the state machine writes them."""
 
     def decode(self, item):
         kind, _, name = item.key.partition("/")
@@ -585,7 +592,7 @@
         )
 
 
-TestAnyReturn = AnyReturn.TestCase
-TestAnyReturn.settings = settings(
+TestAnyRestore = AnyRestore.TestCase
+TestAnyRestore.settings = settings(
     derandomize=True, deadline=None, max_examples=300, stateful_step_count=50
 )
