--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
@@ -111,8 +111,7 @@
         *,
         store_failure_age_s: float = LAPSE_GRACE_S,
     ) -> bool:
-        """Remove a server at once or after a grace period; return whether it is
-        removed.
+        """Remove a server at once or after a grace period; return whether removed.
 
         `store_failure_age_s` is the time since a call to the store last failed for the
         router that read the removal.
