--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_baselines.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_baselines.py
@@ -1,8 +1,8 @@
-"""Simple ways to place prompts, to compare with and to fall back on.
+"""Simple placement strategies, for comparison and as a fallback.
 
-`least_loaded` goes where an answer begins soonest and ignores what is cached beyond
-that; `prefix_only` sends each part to its one home, however busy. Operators choose one
-by name; what each costs is in docs/PERFORMANCE.md.
+`least_loaded` selects the engine with the shortest wait, whether or not it has the part
+cached; `prefix_only` sends each part to its one home server, however busy. Operators
+choose a strategy by name; docs/PERFORMANCE.md states the cost of each.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ChooseEngine(Protocol):
-    """Choose the engine for a prompt."""
+    """A placement strategy: a function that chooses the engine for a prompt."""
 
     def __call__(
         self,
@@ -38,7 +38,7 @@
         may_read_again: bool = True,
         shortage: float = 0.0,
     ) -> Choice | None:
-        """Return the choice, or nothing without candidates."""
+        """Return the chosen engine, or None without candidates."""
 
 
 def least_loaded(
@@ -51,7 +51,7 @@
     may_read_again: bool = True,
     shortage: float = 0.0,
 ) -> Choice | None:
-    """Return the engine with the least to do."""
+    """Return the engine with the shortest wait, or None without candidates."""
     if not candidates:
         return None
     row = min(candidates, key=lambda row: row.wait_s + _fixed_cost(row, centre))
@@ -68,7 +68,7 @@
     may_read_again: bool = True,
     shortage: float = 0.0,
 ) -> Choice | None:
-    """Return the home of the part."""
+    """Return the home server of the part, or None without candidates."""
     if not candidates:
         return None
     home = home_order(prompt.part, [row.server for row in candidates])[0]
@@ -102,15 +102,18 @@
     "least_loaded": least_loaded,
     "prefix_only": prefix_only,
 }
-"""Ways to place prompts, by the name that a setting gives them."""
+"""Placement strategies by their name in the settings."""
 
 
 def placement_named(name: str) -> ChooseEngine:
-    """Return a way to place prompts, or raise `ConfigurationError`."""
+    """Return a placement strategy by name.
+
+    Raises `ConfigurationError` if there is none of that name.
+    """
     choose = PLACEMENTS.get(name)
     if choose is None:
         raise ConfigurationError(
-            f"There is no placement named {name!r}.",
-            hint=f"Name one of {', '.join(PLACEMENTS)}.",
+            f"Unknown placement strategy {name!r}.",
+            hint=f"Use one of {', '.join(PLACEMENTS)}.",
         )
     return choose
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_budgets.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_budgets.py
@@ -1,10 +1,10 @@
-"""Bounds that hold for the whole fleet although each router only knows itself.
+"""Enforce limits of the whole fleet without coordination between routers.
 
-Pattern of load: an outage or a cold start. A retry budget or a cold server's limit is
-stated for all routers together; a router that asked others first would be wrong in
-every partition, and operators would notice servers that are retried to death or fall
-over while they warm up. So each router takes a fixed share of the bound, worked out
-for a fleet that is larger than the one it knows.
+Load pattern: an outage or a cold start. A retry budget or a cold server's limit applies
+to all routers together. A router that had to ask others first would be wrong in every
+network partition; the symptoms are servers that are overloaded by retries or fail while
+they warm up. So each router uses a fixed share of the limit, computed for a fleet that
+is larger than the one it knows.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from fulmarroad.types import RouterName, ServerName
 
 FLEET_MARGIN = 1.5
-"""Assumed routers over known ones: deployments add a third to a half at once."""
+"""Ratio of assumed to known routers: deployments add a third to a half at once."""
 
-SMALLEST_FLEET = 6
-"""Routers assumed while fewer are known: a router that has just started knows none."""
+MIN_ASSUMED_ROUTERS = 6
+"""Minimum number of assumed routers: a router that has just started knows none."""
 
-SHARE_USED = 0.9
-"""Part of a bound that is spent; the rest covers calls that wait on the way."""
+USABLE_FRACTION = 0.9
+"""Fraction of a limit that is used; the rest covers calls delayed in transit."""
 
 BUCKET_S = 0.5
-"""Width of the buckets of a sliding window: a twentieth of the usual ten seconds."""
+"""Bucket width of a sliding window: a twentieth of the usual ten seconds."""
 
 
 def assumed_routers(known: int) -> int:
-    """Return how many routers may share a bound, given how many are known."""
-    return max(SMALLEST_FLEET, math.ceil(FLEET_MARGIN * known))
+    """Return the number of routers assumed to share a limit, by the known number."""
+    return max(MIN_ASSUMED_ROUTERS, math.ceil(FLEET_MARGIN * known))
 
 
 @define
@@ -63,8 +63,8 @@
     """Hold one router's share of a service's retry budget.
 
     In any window the fleet may send `ratio` retries for each request plus `burst`.
-    The first part is paid by a router's own requests, so it adds up by itself; the
-    burst is divided by the routers that may exist.
+    Each router earns the first part with its own requests, so the sum stays within the
+    budget; the burst is divided by the number of routers that may exist.
     """
 
     ratio: float
@@ -75,7 +75,7 @@
 
     def __attrs_post_init__(self) -> None:
         self._requests = SlidingSum(self.window_s)
-        # A bucket more than the window, so that no sliding window sees more.
+        # One bucket longer, so that no sliding window exceeds the limit.
         self._retries = SlidingSum(self.window_s + BUCKET_S)
 
     def note_request(self, now: float) -> None:
@@ -83,13 +83,13 @@
         self._requests.add(1.0, now)
 
     def allows(self, now: float, routers: int) -> bool:
-        """Tell whether there is a retry to take."""
-        paid = self.ratio * self._requests.total(now)
-        allowed = SHARE_USED * (paid + self.burst / assumed_routers(routers))
+        """Return whether a retry is left."""
+        earned = self.ratio * self._requests.total(now)
+        allowed = USABLE_FRACTION * (earned + self.burst / assumed_routers(routers))
         return self._retries.total(now) + 1.0 <= allowed
 
     def take(self, now: float, routers: int) -> bool:
-        """Take one retry; tell whether there was one."""
+        """Take one retry and return whether there was one."""
         if not self.allows(now, routers):
             return False
         self._retries.add(1.0, now)
@@ -97,38 +97,40 @@
 
 
 COLD_WINDOW_S = 1.2
-"""The bound counts any second of arrivals; the fifth covers uneven ways."""
+"""Window of the cold limit. The limit applies to the arrivals in any second; the extra
+fifth covers uneven network delays."""
 
 
 @define
 class ColdShare:
-    """Hold one router's share of what a cold server bears in a second."""
+    """Hold one router's share of the calls a second that a cold server can serve."""
 
     bound: float  # calls of all routers in a second
     _sent: deque[float] = field(factory=deque)
     _ranked: list[RouterName] = field(factory=list)
-    _rank: int = 0  # of this router among those
+    _rank: int = 0  # of this router in `_ranked`
 
     def allows(
         self, server: ServerName, me: RouterName, routers: list[RouterName], now: float
     ) -> bool:
-        """Tell whether one more call may go to the server now.
+        """Return whether one more call may go to the server now.
 
-        Where there are more routers than calls, the first in the server's hash order
-        get one each: all others would each send "only one" as well.
+        If there are more routers than allowed calls, only the first routers in the
+        server's hash order may send one call each: a minimum of one call for every
+        router would exceed the limit.
         """
         while self._sent and self._sent[0] <= now - COLD_WINDOW_S:
             self._sent.popleft()
-        spent = SHARE_USED * self.bound
-        share = int(spent / assumed_routers(len(routers)))
+        usable = USABLE_FRACTION * self.bound
+        share = int(usable / assumed_routers(len(routers)))
         if share == 0 and self._rank_of(server, me, routers) < int(
-            spent / FLEET_MARGIN
+            usable / FLEET_MARGIN
         ):
             share = 1
         return len(self._sent) < share
 
     def note(self, now: float) -> None:
-        """Count a call that is sent."""
+        """Record a call that is sent."""
         self._sent.append(now)
 
     def _rank_of(
@@ -141,8 +143,8 @@
 
 
 def _rank(server: ServerName, me: RouterName, routers: list[RouterName]) -> int:
-    def weight(name: RouterName) -> int:
+    def rank_weight(name: RouterName) -> int:
         return xxhash.xxh3_64_intdigest(f"cold\0{server}\0{name}".encode())
 
-    mine = weight(me)
-    return sum(1 for name in routers if weight(name) > mine)
+    own_weight = rank_weight(me)
+    return sum(1 for name in routers if rank_weight(name) > own_weight)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
@@ -1,4 +1,4 @@
-"""What a call asks for, and what was decided on it."""
+"""Types for the demand of a call and for the decision on it."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from fulmarroad_serving._shares import NO_USE, ShareUse
 
 CALL_UNITS = 1.0
-"""Units of service of a call at a plain service."""
+"""Units of service that a call to a plain service counts for."""
 
 GENERATED_WEIGHT = 2.0
-"""Units of service of a generated token; a token read counts one."""
+"""Units of service per generated token; a prompt token counts for one unit."""
 
 
 @frozen
 class FleetBounds:
-    """Hold the bounds that the whole fleet keeps."""
+    """Hold the bounds that apply to all routers together."""
 
     retry_ratio: float = 0.1
     retry_window_s: float = 10.0
@@ -43,24 +43,24 @@
     own_tokens: int = 0
     output_tokens: int = 0
     hash_fraction: float = 0.0  # 0 to 1, the same for each attempt of a request
-    rank: int = 0  # how many ranks the call is below the most urgent of its service
+    rank: int = 0  # ranks below the most urgent call of its service
 
     @property
     def prompt(self) -> Prompt:
-        """Return what the choice of an engine needs to know."""
+        """Return the properties of the prompt that the choice of an engine needs."""
         part = part_id(self.part)
         return Prompt(part, self.shared_tokens, self.own_tokens, self.objective_s)
 
     @property
     def units(self) -> float:
-        """Return the service that the call takes."""
+        """Return the units of service that the call counts for."""
         read = self.shared_tokens + self.own_tokens
         return read + GENERATED_WEIGHT * self.output_tokens or CALL_UNITS
 
 
 @frozen
 class Placement:
-    """Say where a call goes, with what the decision went by."""
+    """Hold the server chosen for a call and the inputs of the decision."""
 
     registered: Registered
     choice: Choice
@@ -71,20 +71,20 @@
 
 @frozen
 class Refusal:
-    """Say why a call is turned away without being sent, and when to come back."""
+    """Hold the reason why a call is refused unsent, and the delay before a retry."""
 
     reason: RefusalReason
     retry_after_s: float
     wait_s: float = 0.0
     use: ShareUse = NO_USE
     candidates: int = 0
-    read_s: float = 0.0  # until its first token, where it would have gone
-    excess_wait_s: float = 0.0  # of the wait there, above what the call may wait
+    read_s: float = 0.0  # from reading to the first token, at the chosen server
+    excess_wait_s: float = 0.0  # expected wait there beyond the allowed wait
 
 
 @define
 class Ticket:
-    """Hold a call that is at a server."""
+    """Hold the state of a call that was sent to a server."""
 
     demand: Demand
     charge: Charge
@@ -93,9 +93,9 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the first part of its answer has come."""
+        """Return whether the first part of the answer has arrived."""
         return self.begun_at is not None
 
     def answered_s(self, now: float) -> float:
-        """Return for how long its answer has been coming."""
+        """Return the time since the first part of the answer; 0 before it."""
         return now - self.begun_at if self.begun_at is not None else 0.0
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
@@ -1,8 +1,8 @@
-"""The decisions on a call put together: let in or refuse, where to send, what it cost.
+"""Admit or refuse a call, choose its server and account for its cost.
 
-One object holds all that a router believes and decides without a network, so that the
-same code runs behind callers, in tests and in the model of a whole fleet. Time is
-passed in; what happened is told by the tasks that own the sockets.
+One object holds a router's state and makes its decisions without network access, so
+that the same code serves real callers, tests and the model of a whole fleet. The
+current time is an argument; the tasks that own the sockets report each outcome.
 """
 
 from __future__ import annotations
@@ -46,52 +46,55 @@
 from fulmarroad_serving._suspects import Suspects
 
 LARGE_PROMPT_TOKENS = 3_000
-"""Tokens to read from which peers hear of a prompt at once: it keeps an engine busy for
-longer than the wait that workspaces above their share are granted."""
+"""Uncached prompt tokens from which a prompt is reported to peers at once: it occupies
+an engine for longer than workspaces above their share may wait."""
 
-LATE_PROMPT_PART = 0.3
-"""Part of the objective that a prompt may wait whose reading alone takes longer: it
-comes late in any case, and would otherwise never be served."""
+LATE_PROMPT_WAIT_FRACTION = 0.3
+"""Fraction of the objective that a prompt may wait if reading it alone takes longer
+than the objective: it is late in any case, and would otherwise never be served."""
 
-RANK_PART = 0.7
-"""Part of its wait that a call keeps for each rank below the most urgent one: when a
-service fills up, the less urgent are turned away first, and none before there is a
-queue."""
+WAIT_FACTOR_PER_RANK = 0.7
+"""Factor on a call's allowed wait for each rank below the most urgent one: when a
+service fills up, less urgent calls are refused first, and none while no queue exists.
+"""
 
-EMPTY_WAIT_S = 0.002
-"""Wait below which an engine stands empty: less than one step."""
+IDLE_ENGINE_WAIT_S = 0.002
+"""Wait below which an engine counts as idle: less than one step."""
 
 PLAIN_SERVICE_S = 0.05
-"""Time of a call at a plain service before any was seen."""
+"""Assumed duration of a call to a plain service before any was measured."""
 
-PLAIN_LEARNING = 0.05
+PLAIN_LEARNING_RATE = 0.05
 
-PLAIN_WAIT_PART = 0.6
-"""Part of the objective that a call may wait for a slot of a plain service."""
+PLAIN_WAIT_FRACTION = 0.6
+"""Fraction of the objective that a call may wait for a slot of a plain service."""
 
 RETRY_AFTER_S = (0.3, 0.9)
-"""Earliest and latest return after a refusal by load: the queue of an engine is read
-within a fraction of a second, and the spread keeps returns from coming at once."""
+"""Range of the retry delay after a refusal for load: an engine works off its queue
+within a fraction of a second, and the range keeps retries from arriving together."""
 
-MOST_LOOKED_AT = 64
-"""Engines whose speeds stand for all of a larger service: the mean of so many is off by
-an eighth of what they differ by."""
+MAX_SAMPLED_ENGINES = 64
+"""Engines sampled to estimate the speed of a larger service: the error of their mean is
+an eighth of the engines' standard deviation."""
 
-ENGINES_SEEN_S = 0.1
-"""Time between two looks at the engines' speeds: lost ones are known no sooner."""
+SPEED_REFRESH_INTERVAL_S = 0.1
+"""Time between two estimates of the engines' total speed: lost engines aren't detected
+any sooner."""
 
 NEVER = float("-inf")
 
-LONGEST_RETRY_AFTER_S = 4.0
-"""The window of shares: what was used up then is free again."""
+MAX_RETRY_AFTER_S = 4.0
+"""Upper bound of the retry delay: the share window, after which used shares are free
+again."""
 
-NO_SERVER_RETRY_S = (0.8, 1.6)
-"""Return where no server is known: new entries come about once a second."""
+NO_SERVER_RETRY_AFTER_S = (0.8, 1.6)
+"""Range of the retry delay while no server is known: new entries arrive about once a
+second."""
 
 
 @define
 class _ServerView:
-    """Hold all that this router knows of one server's doing."""
+    """Hold this router's load, health and timing data for one server."""
 
     load: ServerLoad = field(factory=ServerLoad)
     health: ServerHealth = field(factory=ServerHealth)
@@ -100,7 +103,7 @@
 
 
 class Dispatcher:
-    """Decide for one router."""
+    """Make the admission and placement decisions of one router."""
 
     def __init__(
         self,
@@ -119,7 +122,7 @@
         self._views: dict[ServerName, _ServerView] = {}
         self._retries: dict[ServiceName, RetryShare] = {}
         self._capacities: dict[ServiceName, EngineCapacity] = {}
-        self._engines_seen_at: dict[ServiceName, float] = {}
+        self._speeds_refreshed_at: dict[ServiceName, float] = {}
         self.parts = PartMemory()
         self.suspects = Suspects()
         self._catalog = Catalog(0)
@@ -127,30 +130,30 @@
         self.registry = Registry()
         self.shares = ShareBook(window_s=bounds.share_window_s)
         self.routers: list[RouterName] = [me]
-        """Routers that may exist, this one too; set by the membership."""
+        """Routers that may exist, including this one; set by the membership."""
         self.on_large_prompt: Callable[[], None] | None = None
-        """Called after a large prompt was sent: peers should hear of it at once."""
+        """Called after a large prompt was sent, to report it to peers at once."""
 
     def set_catalog(self, catalog: Catalog) -> None:
-        """Decide by another version of the configuration."""
+        """Apply another version of the configuration."""
         self._catalog = catalog
         self.shares.units_per_s = catalog.limits.units_per_s
 
     def restarted(self, server: ServerName) -> None:
-        """Forget what was known of a server that started anew."""
+        """Drop the state of a server that restarted."""
         self._views.pop(server, None)
         self.parts.forget(server)
 
     def health(self, server: ServerName) -> ServerHealth:
-        """Return how far a server is trusted."""
+        """Return the failure record of a server."""
         return self._view(server).health
 
     def load(self, server: ServerName) -> ServerLoad:
-        """Return what is known of a server's load."""
+        """Return the load estimate of a server."""
         return self._view(server).load
 
     def own_load(self) -> dict[ServerName, PeerLoad]:
-        """Return what this router has at servers, for its peers."""
+        """Return this router's own load at each server, for its peers."""
         return {
             server: PeerLoad(view.load.running, max(0, view.load.waiting_tokens))
             for server, view in self._views.items()
@@ -160,7 +163,7 @@
     def receive_load(
         self, router: RouterName, loads: Mapping[ServerName, PeerLoad], now: float
     ) -> None:
-        """Take a peer's word on what it has at servers."""
+        """Store a peer's report of its load at each server."""
         for server, load in loads.items():
             self._view(server).load.receive_load(router, load, now)
         for server, view in self._views.items():
@@ -168,57 +171,65 @@
                 view.load.forget(router)
 
     def forget_peers(self, routers: Collection[RouterName]) -> None:
-        """Drop what peers said that is told by others from now on."""
+        """Drop the reports of peers whose load other routers report from now on."""
         for view in self._views.values():
             for router in routers:
                 view.load.forget(router)
         self.shares.forget(routers)
 
     def note_asked(self, demand: Demand, now: float) -> None:
-        """Count a call that came in."""
+        """Count an incoming call."""
         self.shares.note_asked(demand.workspace, demand.units, now)
         if demand.part:
             self.parts.note_asked(part_id(demand.part), now)
         self._retry_share(demand.service).note_request(now)
 
     def reject_early(self, demand: Demand, now: float) -> Refusal | None:
-        """Return why a call isn't tried at all, its workspace being above its share."""
+        """Refuse a call without trying a server if its workspace exceeds its share.
+
+        Return nothing for a call that may be placed.
+        """
         service = self._catalog.services.get(demand.service)
         if service is None or service.engine is None:
             return None
         engines = self._capacity(service.name)
-        if now - self._engines_seen_at.get(service.name, NEVER) >= ENGINES_SEEN_S:
-            self._engines_seen_at[service.name] = now
+        if (
+            now - self._speeds_refreshed_at.get(service.name, NEVER)
+            >= SPEED_REFRESH_INTERVAL_S
+        ):
+            self._speeds_refreshed_at[service.name] = now
             engines.tokens_per_s = self._tokens_per_s(service.name)
         if not engines.tokens_per_s:
-            return None  # no engine at all, which the placement tells
+            return None  # no engine at all; `place` refuses with that reason
         shares = self.shares
         units = engines.capacity(shares.granted_units(now), shares.window_s)
-        part = admitted_fraction(shares.entitled_fraction(demand.workspace, units, now))
-        if demand.hash_fraction <= part:
+        admitted = admitted_fraction(
+            shares.entitled_fraction(demand.workspace, units, now)
+        )
+        if demand.hash_fraction <= admitted:
             return None
-        pause = self._random.uniform(*RETRY_AFTER_S)
-        pause += (1.0 - part) * self._bounds.share_window_s / 2
+        retry_after_s = self._random.uniform(*RETRY_AFTER_S)
+        retry_after_s += (1.0 - admitted) * self._bounds.share_window_s / 2
         use = shares.use_of(demand.workspace, demand.units, now)
-        pause = min(pause, LONGEST_RETRY_AFTER_S)
-        return Refusal(RefusalReason.ABOVE_SHARE, pause, use=use)
+        retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
+        return Refusal(RefusalReason.ABOVE_SHARE, retry_after_s, use=use)
 
     def may_retry(self, service: ServiceName, now: float) -> bool:
-        """Tell whether the budget has a retry left."""
+        """Return whether the budget has a retry left."""
         return self._retry_share(service).allows(now, len(self.routers))
 
     def take_retry(self, service: ServiceName, now: float) -> bool:
-        """Take one retry from the budget; tell whether there was one."""
+        """Take one retry from the budget and return whether there was one."""
         return self._retry_share(service).take(now, len(self.routers))
 
     def place(
         self, demand: Demand, now: float, *, avoid: Collection[ServerName] = ()
     ) -> Placement | Refusal:
-        """Choose a server, or say why there is none."""
+        """Choose a server, or return the reason for a refusal."""
         service = self._catalog.services.get(demand.service) or Service(demand.service)
-        rows = self._open_servers(demand, service, now, avoid)
+        rows = self._eligible_servers(demand, service, now, avoid)
         if not rows:
-            return self._no_server()
+            return self._refuse_without_server()
         candidates = [self._candidate(row, service, now) for row in rows]
         use = NO_USE
         if service.engine is not None:
@@ -235,16 +246,18 @@
         else:
             choice = choose_plain(candidates, self._centre, self._random)
         assert choice is not None
-        excess_wait_s = choice.wait_s - self._allowed_wait(demand, service, choice, use)
+        excess_wait_s = choice.wait_s - self._allowed_wait_s(
+            demand, service, choice, use
+        )
         if excess_wait_s > 0:
-            return self._overloaded(choice, use, len(rows), excess_wait_s)
+            return self._refuse_for_wait(choice, use, len(rows), excess_wait_s)
         registered = self.registry.get(choice.server)
         assert registered is not None
         source = self.registry.get(choice.source) if choice.source else None
         return Placement(registered, choice, use, len(rows), source)
 
     def send(self, demand: Demand, placement: Placement, now: float) -> Ticket:
-        """Count a call that is about to be sent."""
+        """Record a call that is about to be sent."""
         server = placement.choice.server
         view = self._view(server)
         choice = placement.choice
@@ -254,7 +267,7 @@
             self._cold_share(view, demand.service).note(now)
         if choice.tokens >= LARGE_PROMPT_TOKENS and self.on_large_prompt is not None:
             self.on_large_prompt()
-        if placement.use is not NO_USE:  # at an engine
+        if placement.use is not NO_USE:  # only set for engine services
             self._capacity(demand.service).note_sent(choice.tokens, demand.units)
         if demand.part:
             self.parts.send(part_id(demand.part), server, now)
@@ -263,13 +276,16 @@
         return Ticket(demand, charge, source.instance if source is not None else None)
 
     def begin(self, ticket: Ticket, now: float) -> None:
-        """Count the first part of an answer."""
+        """Record the first part of an answer."""
         if not ticket.begun:
             ticket.begun_at = now
             self._view(ticket.charge.server).load.begin(ticket.charge, now)
 
     def end(self, ticket: Ticket, outcome: SendOutcome | None, now: float) -> None:
-        """Count a call that ended; no outcome: answered, or its caller left."""
+        """Record the end of a call.
+
+        `outcome` is None if the call was answered or its caller disconnected.
+        """
         view = self._view(ticket.charge.server)
         view.load.end(ticket.charge, begun=ticket.begun)
         if not ticket.begun:
@@ -278,14 +294,14 @@
         if outcome is None:
             if ticket.begun:
                 view.health.record_success(now)
-                took = now - ticket.charge.sent_at
-                view.plain_s += PLAIN_LEARNING * (took - view.plain_s)
+                duration_s = now - ticket.charge.sent_at
+                view.plain_s += PLAIN_LEARNING_RATE * (duration_s - view.plain_s)
         else:
-            # A server that turns calls away looks idle and would get the most of them.
+            # Without a penalty, a server that rejects calls looks idle and gets most.
             view.health.record_failure(now)
 
     def expire(self, now: float) -> list[ServerName]:
-        """Drop what is over; return the servers that are gone for good."""
+        """Drop expired entries and return the servers that were removed."""
         gone = self.registry.expire(now)
         for server in list(self._views):
             view = self._views[server]
@@ -294,28 +310,33 @@
                 self.parts.forget(server)
         return gone
 
-    def _open_servers(
+    def _eligible_servers(
         self,
         demand: Demand,
         service: Service,
         now: float,
         avoid: Collection[ServerName],
     ) -> list[Registered]:
-        """Return the servers that a call looks at and that take one now."""
+        """Return the shortlisted servers that accept a call now.
+
+        Fall back to all usable servers if none of the shortlist accepts one.
+        """
         usable = self.registry.usable(service.name)
         part = part_id(demand.part)
         picked = self._shortlist(service.name).pick(
             part, usable, self.parts.holders(part)
         )
-        rows = [row for row in picked if self._takes(row, service, now, avoid)]
+        rows = [row for row in picked if self._accepts_call(row, service, now, avoid)]
         if not rows and len(picked) < len(usable):
-            rows = [row for row in usable if self._takes(row, service, now, avoid)]
+            rows = [
+                row for row in usable if self._accepts_call(row, service, now, avoid)
+            ]
         return rows
 
     def _tokens_per_s(self, service: ServiceName) -> float:
-        """Return how many tokens all engines of a service read."""
+        """Return how many prompt tokens a second all engines of a service read."""
         usable = self.registry.usable(service)
-        rows = self._random.sample(usable, min(MOST_LOOKED_AT, len(usable)))
+        rows = self._random.sample(usable, min(MAX_SAMPLED_ENGINES, len(usable)))
         rate = sum(self._view(row.instance.id).load.read_rate for row in rows)
         return rate * len(usable) / max(1, len(rows))
 
@@ -331,7 +352,7 @@
             shortlist = self._shortlists[service] = Shortlist(self._random)
         return shortlist
 
-    def _takes(
+    def _accepts_call(
         self,
         row: Registered,
         service: Service,
@@ -357,7 +378,7 @@
         else:
             over = view.load.total_running(now) + 1 - instance.slots
             wait = max(0.0, over / max(1, instance.slots)) * view.plain_s
-            # A fuller server among those with room is slower and closer to waiting.
+            # Among servers with free slots, a fuller one is slower and closer to full.
             wait += 0.001 * view.load.total_running(now)
         return Candidate(
             instance.id,
@@ -370,36 +391,37 @@
             service.engine.fetch_rate if service.engine is not None else 0.0,
         )
 
-    def _allowed_wait(
+    def _allowed_wait_s(
         self, demand: Demand, service: Service, choice: Choice, use: ShareUse
     ) -> float:
         if service.engine is None:
-            part = PLAIN_WAIT_PART * RANK_PART**demand.rank
+            part = PLAIN_WAIT_FRACTION * WAIT_FACTOR_PER_RANK**demand.rank
             return part * demand.objective_s
         if use.yields:
-            return EMPTY_WAIT_S
-        room = max(
-            demand.objective_s - choice.read_s, LATE_PROMPT_PART * demand.objective_s
+            return IDLE_ENGINE_WAIT_S
+        slack_s = max(
+            demand.objective_s - choice.read_s,
+            LATE_PROMPT_WAIT_FRACTION * demand.objective_s,
         )
-        return use.wait_fraction * room * RANK_PART**demand.rank
+        return use.wait_fraction * slack_s * WAIT_FACTOR_PER_RANK**demand.rank
 
-    def _no_server(self) -> Refusal:
-        pause = self._random.uniform(*NO_SERVER_RETRY_S)
-        return Refusal(RefusalReason.NO_SERVERS, pause)
+    def _refuse_without_server(self) -> Refusal:
+        retry_after_s = self._random.uniform(*NO_SERVER_RETRY_AFTER_S)
+        return Refusal(RefusalReason.NO_SERVERS, retry_after_s)
 
-    def _overloaded(
+    def _refuse_for_wait(
         self, choice: Choice, use: ShareUse, candidates: int, excess_wait_s: float
     ) -> Refusal:
         early, late = RETRY_AFTER_S
-        pause = self._random.uniform(early, late)
+        retry_after_s = self._random.uniform(early, late)
         over = use.used_fraction - 1.0
         if over > 0:
-            # The share is free again as the window moves on.
-            pause += min(over, 1.0) * self._bounds.share_window_s / 2
-        pause = min(pause, LONGEST_RETRY_AFTER_S)
+            # Used share becomes free again as the window slides.
+            retry_after_s += min(over, 1.0) * self._bounds.share_window_s / 2
+        retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
         return Refusal(
             RefusalReason.WAIT_TOO_LONG,
-            pause,
+            retry_after_s,
             choice.wait_s,
             use,
             candidates,
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
@@ -1,18 +1,18 @@
-"""Decide which calls are tried at all when more is asked than engines give.
-
-Pattern of load: several workspaces ask for a multiple of what engines give, at scores
-of routers whose news of each other are older than an engine's queue. A call that looks
-while an engine seems to stand empty gets the place, so places go to whoever looks most
-often, engines are booked by several routers at once and nearly all that begins is late;
-and each refusal costs its router a search. Operators would notice a workspace with half
-of what another one gets, first tokens that come late at all engines, and routers whose
-processors are used up by refusing. So the calls of a workspace are let in for its
-max-min share of what engines give, with room for those that find no place; the rest is
-turned away before any engine is looked at.
-
-Who is let in follows from sums over the fleet alone. A router that felt its own way
-would settle elsewhere than the others, and a workspace whose calls all come to it would
-pay for that.
+"""Decide which calls are tried at all when the demand exceeds the engines' capacity.
+
+Load pattern: several workspaces ask for a multiple of the engines' capacity at many
+routers, whose reports about each other are older than an engine's queue. A call that is
+tried while an engine seems idle is placed, so the workspace that tries most often gets
+most, several routers fill the same engine at once and nearly every call is late; and
+each refusal costs its router a search. The symptoms are a workspace that gets half as
+much as another one, late first tokens at all engines, and routers whose CPU time is
+used up by refusals. So calls of a workspace are admitted for its max-min share of the
+capacity, with a margin for calls that find no free engine; the rest are refused before
+any engine is considered.
+
+The decision depends only on sums over the fleet. A router that adapted to its own
+measurements would reach another limit than the others, and workspaces whose calls all
+go to that router would be treated differently.
 """
 
 from __future__ import annotations
@@ -20,45 +20,46 @@
 from attrs import define
 
 PLACED_FRACTION = 0.5
-"""Part of a workspace's calls let in that is to find a place. With less of it,
-places go to whoever looks most often; with all of it, engines would idle for each call
-that is refused for another reason than a lack of room."""
+"""Fraction of a workspace's admitted calls that should be placed. With a smaller one,
+the workspaces that try most often get most; with 1, engines would idle for each call
+that is refused for another reason than a lack of capacity."""
 
 
-LEARNING = 0.02
-"""Weight of one call in what is learned of calls."""
+LEARNING_RATE = 0.02
+"""Weight of one call in the learned read ratio."""
 
-READ_PART = 0.5
-"""Tokens read for a unit of service before any call was seen."""
+INITIAL_READ_RATIO = 0.5
+"""Initial estimate of the tokens read per unit of service."""
 
-LEAST_READ_PART = 0.02
-"""The same where prompts are cached whole."""
+MIN_READ_RATIO = 0.02
+"""Lower bound of the read ratio, for prompts that are completely cached."""
 
 
 def admitted_fraction(entitled: float) -> float:
-    """Return the part of a workspace's calls that is tried.
+    """Return the fraction of a workspace's calls that is tried.
 
-    `entitled` is its equal share, as a part of what it asks.
+    `entitled` is its equal share as a fraction of its demand.
     """
     return min(1.0, entitled / PLACED_FRACTION)
 
 
 @define
 class EngineCapacity:
-    """Say what the engines of one service give.
+    """Estimate the capacity of the engines of one service.
 
-    That is what they are handed out, but no less than what they read: with less let in,
-    less is handed out, and after a restart it is nothing.
+    The capacity is the granted service, but no less than what follows from the engines'
+    reading speed: when fewer calls are admitted, less is granted, and after a restart
+    nothing is granted yet.
     """
 
-    read_part: float = READ_PART  # tokens read for a unit of service
-    tokens_per_s: float = 0.0  # that all engines read
+    read_ratio: float = INITIAL_READ_RATIO  # tokens read per unit of service
+    tokens_per_s: float = 0.0  # reading speed of all engines together
 
     def capacity(self, granted_units: float, window_s: float) -> float:
-        """Return the units of service that the engines give in a window."""
-        least = self.tokens_per_s * window_s / max(self.read_part, LEAST_READ_PART)
+        """Return the units of service that the engines provide in a window."""
+        least = self.tokens_per_s * window_s / max(self.read_ratio, MIN_READ_RATIO)
         return max(granted_units, least)
 
     def note_sent(self, read_tokens: int, units: float) -> None:
-        """Learn from a call that is sent what calls take."""
-        self.read_part += LEARNING * (read_tokens / units - self.read_part)
+        """Update the read ratio with a call that is sent."""
+        self.read_ratio += LEARNING_RATE * (read_tokens / units - self.read_ratio)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_engine_time.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_engine_time.py
@@ -1,53 +1,54 @@
-"""Price the time that an engine spends on reading a shared part again.
-
-Pattern of load: overload by prompts that share long parts. While engines stand by, it
-costs nobody anything if one more of them reads a part and begins a call sooner. When
-part of what callers ask is turned away, each such reading takes the place of calls that
-would have been served where their parts are; operators would notice engines that read
-several times what callers send them, and twice the refusals. A part that many calls ask
-for pays its reading back, so the price is divided by those.
+"""Compute the cost of letting another engine read a shared part again.
+
+Load pattern: overload by prompts that share long parts. While engines are idle, it
+costs nothing if one more of them reads a part and begins a call sooner. When part of
+the demand is refused, each such reading displaces calls that would have been served
+where their parts are cached. The symptoms are engines that read several times the
+tokens callers send, and twice the refusals. A part that many calls ask for is worth its
+reading, so the cost is divided by the number of those calls.
 """
 
 from __future__ import annotations
 
 from attrs import frozen
 
-SCARCE = 0.2
-"""Part of what is asked that is turned away, from which on no engine has time to spare:
-a fifth is more than queues that come and go turn away."""
+SHORTAGE_LIMIT = 0.2
+"""Refused fraction of the demand from which no engine has time to spare: short-lived
+queues alone cause refusals of less than a fifth."""
 
 SPREAD_WAIT_S = 0.05
-"""Wait up to which an engine is asked to read a part that another one has, as long as
-nothing is turned away: one that is behind itself has no time for it."""
+"""Longest wait at which an engine may read a part that another one has cached, while
+nothing is refused: an engine with a longer queue has no time for it."""
 
-LEAST_WEIGHT = 2.0
-"""Cost of a reading, as a multiple of its time, beside the prompt's own wait: the time
-is taken from all others there."""
+BASE_WEIGHT = 2.0
+"""Cost of a reading as a multiple of its time, in addition to the prompt's own wait:
+the reading delays all other prompts of the engine."""
 
-NO_TIME_S = float("-inf")
-"""The same where no engine has time. Not zero: by news of a moment ago many engines
-seem to stand empty."""
+NEVER_SPREAD_S = float("-inf")
+"""Value of `spread_wait_s` when no engine has time to spare. It isn't zero because, by
+slightly outdated load reports, many engines seem to be idle."""
 
-SCARCE_WEIGHT = 20.0
-"""Added to that multiple if all that is asked were turned away; less in proportion."""
+SHORTAGE_WEIGHT = 20.0
+"""Addition to `BASE_WEIGHT` if all demand were refused, scaled by the refused fraction.
+"""
 
 
 @frozen
 class ReadingPrice:
-    """Say what reading a shared part again costs."""
+    """Hold the cost of reading a shared part again."""
 
-    weight: float  # of the reading's time, beside the prompt's own wait
-    spread_wait_s: float  # an engine with no more to do has time for it
+    weight: float  # factor on the reading time, added to the prompt's own wait
+    spread_wait_s: float  # longest wait at which an engine has time for the reading
 
 
 def reading_price(shortage: float, calls: float) -> ReadingPrice:
-    """Return the price of reading a part that a number of calls asked for lately.
+    """Return the cost of reading a part that a number of recent calls asked for.
 
-    `shortage` is the part of what callers asked that was turned away, 0 to 1.
+    `shortage` is the refused fraction of the demand, 0 to 1.
     """
     scarcity = shortage / max(1.0, calls)
-    spare = 1.0 - scarcity / SCARCE
+    spare_fraction = 1.0 - scarcity / SHORTAGE_LIMIT
     return ReadingPrice(
-        LEAST_WEIGHT + SCARCE_WEIGHT * scarcity,
-        SPREAD_WAIT_S * spare if spare > 0 else NO_TIME_S,
+        BASE_WEIGHT + SHORTAGE_WEIGHT * scarcity,
+        SPREAD_WAIT_S * spare_fraction if spare_fraction > 0 else NEVER_SPREAD_S,
     )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_health.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_health.py
@@ -1,9 +1,10 @@
-"""How much a router trusts a backend server, from the calls that it sent itself.
+"""Track the health of a backend server by the outcome of this router's own calls.
 
-Pattern of load: a server that fails or swallows part of its calls while it looks idle.
-Balancing by load alone sends it ever more; operators would notice errors that rise
-while other servers have room. Failures raise a penalty that placement adds to the
-server's estimate, and a server that can't be reached gets nothing for a growing pause.
+Load pattern: a server fails some of its calls, or never answers them, while it looks
+idle. Balancing by load alone sends it more and more calls; the symptom is a rising
+error rate while other servers have capacity. Failures raise a penalty that placement
+adds to the server's estimate, and a server that can't be reached gets no calls for an
+exponentially growing backoff.
 """
 
 from __future__ import annotations
@@ -11,27 +12,28 @@
 from attrs import define
 
 FAILURE_WEIGHT = 0.25
-"""Weight of one outcome in the mean: a server that fails half shows after three."""
+"""Weight of one outcome in the moving average: a server that fails half of its calls is
+detected after three outcomes."""
 
 PENALTY_S = 1.5
-"""Estimate added at a failure rate of one: more than any objective, so that a server
-which fails all is used only where nothing else is."""
+"""Time added to the estimate per unit of failure rate above `TOLERATED_RATE`: more than
+any objective, so that a server that fails all calls is only used as a last resort."""
 
 TOLERATED_RATE = 0.3
-"""Failure rate without a penalty: some services fail part of their calls by nature."""
+"""Failure rate without a penalty: some services normally fail part of their calls."""
 
-FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 4.0
-"""Pause after a server could not be reached, doubled each time. A lost packet costs a
-quarter of a second, a server that is gone one try in four seconds."""
+MIN_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 4.0
+"""Bounds of the backoff after a failed connection, doubled each time. A lost packet
+costs a quarter of a second, and a lost server costs one attempt in four seconds."""
 
-FORGET_S = 6.0
-"""Time in which a failure rate halves without calls, so a server gets its chance."""
+RATE_HALF_LIFE_S = 6.0
+"""Half-life of a failure rate without calls, so that a server is tried again."""
 
 
 @define
 class ServerHealth:
-    """Hold what one router's calls told of one server."""
+    """Track the failure rate and the connection backoff of one server."""
 
     rate: float = 0.0
     updated_at: float = 0.0
@@ -39,34 +41,34 @@
     _backoff_s: float = 0.0
 
     def record_success(self, now: float) -> None:
-        """Note a good answer."""
-        self._move(0.0, now)
+        """Record a successful answer."""
+        self._update_rate(0.0, now)
         self._backoff_s = 0.0
         self.backoff_until = 0.0
 
     def record_failure(self, now: float) -> None:
-        """Note a call that the server failed, cut off or left without an answer."""
-        self._move(1.0, now)
+        """Record a call that the server failed, cut off or didn't answer."""
+        self._update_rate(1.0, now)
 
     def unreachable(self, now: float) -> None:
-        """Note that no connection could be made."""
+        """Record a failed connection attempt."""
         if now < self.backoff_until:
             return
-        self._backoff_s = min(LONGEST_PAUSE_S, 2 * self._backoff_s or FIRST_PAUSE_S)
+        self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s or MIN_BACKOFF_S)
         self.backoff_until = now + self._backoff_s
 
     def in_backoff(self, now: float) -> bool:
-        """Tell whether the server gets nothing for now."""
+        """Return whether the server gets no calls for now."""
         return now < self.backoff_until
 
     def penalty_s(self, now: float) -> float:
-        """Return what placement adds to the server's estimate."""
-        return PENALTY_S * max(0.0, self._now(now) - TOLERATED_RATE)
+        """Return the time that placement adds to the server's estimate."""
+        return PENALTY_S * max(0.0, self._decayed_rate(now) - TOLERATED_RATE)
 
-    def _now(self, now: float) -> float:
-        return self.rate * 0.5 ** (max(0.0, now - self.updated_at) / FORGET_S)
+    def _decayed_rate(self, now: float) -> float:
+        return self.rate * 0.5 ** (max(0.0, now - self.updated_at) / RATE_HALF_LIFE_S)
 
-    def _move(self, outcome: float, now: float) -> None:
-        rate = self._now(now)
+    def _update_rate(self, outcome: float, now: float) -> None:
+        rate = self._decayed_rate(now)
         self.rate = rate + FAILURE_WEIGHT * (outcome - rate)
         self.updated_at = now
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
@@ -1,13 +1,13 @@
-"""Decide how long a call that finds no place is held, and how often it looks again.
-
-Pattern of load: engines that are busy, but whose queues come and go within a tenth of a
-second. A call that is turned away at a bad moment comes back after a third of a second
-or more and is late whatever happens, though an engine was free soon after; operators
-would notice refusals beside engines that idle. So a call is held while it may still
-begin on time, and refused as soon as it can't. Calls of workspaces that use less of
-their share look more often and so find a place first, and nobody looks before the
-queue can have moved: at a router with hundreds of held calls the looks would else take
-more of its processor than the calls that it serves.
+"""Decide how long a call without a free engine is held, and how often it is retried.
+
+Load pattern: engines are busy, but their queues grow and shrink within a tenth of a
+second. A refused call is retried after a third of a second or more and is then late in
+any case, although an engine became free soon after the refusal. The symptom is refusals
+while engines idle. So a call is held while it can still begin on time, and refused as
+soon as it can't. Calls of workspaces that use less of their share retry more often and
+so are placed first. No call retries before the queue can have changed: at a router with
+hundreds of held calls the retries would otherwise use more CPU time than the calls that
+it serves.
 """
 
 from __future__ import annotations
@@ -18,46 +18,48 @@
 from fulmarroad_serving._demands import Refusal
 
 HELD_FRACTION = 0.5
-"""Part of the objective that a call may be held, with the time of its reading. The rest
-is margin: held longer, a call goes where an estimate that is off makes it late."""
+"""Fraction of the objective for holding a call and reading its prompt together. The
+rest is margin for wrong estimates, which would make a call held for longer late."""
 
 POLL_INTERVAL_S = 0.01
-"""Time between two looks of a call whose workspace uses nothing of its share; twice as
-long at its share, three times above. About one step of an engine."""
+"""Retry interval of a call whose workspace uses none of its share; twice as long at a
+fully used share, and three times at twice the share or more. About one engine step."""
 
-LONGEST_LOOK_S = 0.04
-"""Time after which a call looks again however long the queue was: a call that ends, or
-news of another engine, makes room at any moment."""
+MAX_POLL_INTERVAL_S = 0.04
+"""Upper bound of the retry interval for long queues: a call that ends, or another
+engine that is added, can free capacity at any time."""
 
-QUEUE_PART = 0.15
-"""Part of the time until a queue would be short enough after which its call looks
-again: other engines come free sooner."""
+QUEUE_FRACTION = 0.15
+"""Fraction of the time until the queue would be short enough after which a call
+retries: other engines become free sooner."""
 
-LOOKS_PER_S = 400.0
-"""Looks of all held calls of a router in a second: at some 0.1 ms each they take 4% of
-a core."""
+MAX_POLLS_PER_S = 400.0
+"""Maximum retries a second for all held calls of a router: at about 0.1 ms each they
+use 4% of a core."""
 
-PLACING_S = 0.02
-"""Time that is kept free for sending, beside the reading: two steps of an engine."""
+SEND_MARGIN_S = 0.02
+"""Time reserved for sending, in addition to the reading: two engine steps."""
 
 
 @define
 class HeldCalls:
-    """Count the calls that a router holds and pace their looks."""
+    """Count the calls that a router holds and schedule their retries."""
 
     count: int = 0
 
     def next_poll_s(
         self, refusal: Refusal, objective_s: float, held_s: float
     ) -> float | None:
-        """Return the time until a call looks again, or nothing if it is to be refused.
+        """Return the time until a call retries, or None if it must be refused.
 
-        `objective_s` is the whole objective, `held_s` what has passed of it.
+        `objective_s` is the whole objective, `held_s` the elapsed part of it.
         """
         if refusal.reason is not RefusalReason.WAIT_TOO_LONG:
             return None
-        if held_s + refusal.read_s + PLACING_S >= HELD_FRACTION * objective_s:
+        if held_s + refusal.read_s + SEND_MARGIN_S >= HELD_FRACTION * objective_s:
             return None
-        pace = POLL_INTERVAL_S * (1.0 + min(2.0, refusal.use.used_fraction))
-        queue_s = min(QUEUE_PART * refusal.excess_wait_s, LONGEST_LOOK_S)
-        return max(pace, queue_s, self.count / LOOKS_PER_S)
+        share_interval_s = POLL_INTERVAL_S * (1.0 + min(2.0, refusal.use.used_fraction))
+        queue_interval_s = min(
+            QUEUE_FRACTION * refusal.excess_wait_s, MAX_POLL_INTERVAL_S
+        )
+        return max(share_interval_s, queue_interval_s, self.count / MAX_POLLS_PER_S)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
@@ -1,20 +1,20 @@
-"""Choose the server of a call: where its prompt is cached, unless that one is behind.
-
-Pattern of load: prompts that share long parts, some of them asked for far more often.
-Spread evenly, every engine reads every part again and again; sent to one home each, a
-popular part overloads its engine. Operators would notice prompt tokens read several
-times over, or one late engine among idle ones. Each part has the same order of servers
-at every router, by rendezvous hashing, so routers agree without a message. A call goes
-to a server that has its part as long as it begins there on time; only then to another
-one that does, which has the part from then on, and the next calls count on that.
-Reading 13,000 tokens again takes an engine a seventh of a second from everybody, so
-beginning somewhat sooner is no reason for it, and in overload parts stay where they are
-(`_engine_time`).
-
-Engines that are linked fetch a part from each other instead of reading it: 5,400
-tokens take some 13 ms, not 80. So each call names another engine that was sent its part
-lately, also where the part is thought to be cached. With many long answers running, an
-engine drops unused parts within a few seconds, and nobody is told.
+"""Choose a server for a call, preferring one that has its prompt cached.
+
+Load pattern: prompts share long parts, and some parts are far more popular than others.
+If calls are spread evenly, every engine reads every part repeatedly; if each part has
+one fixed engine, a popular part overloads it. The symptoms are prompt tokens read
+several times, or one late engine among idle ones. Rendezvous hashing gives each part
+the same order of servers at every router, so routers agree without messages. A call
+goes to a server that has its part cached while it can begin there on time; otherwise to
+another server that can begin on time, which then has the part cached for later calls.
+Reading 13,000 tokens again occupies an engine for a seventh of a second and delays all
+its other calls. A slightly earlier start doesn't justify that, and under overload parts
+stay on the engines that have them (`_engine_time`).
+
+Linked engines fetch a part from each other instead of reading it: 5,400 tokens take
+about 13 ms instead of 80. So each call names another engine that was recently sent its
+part, even if the part is believed to be cached: with many long answers running, an
+engine evicts unused parts within a few seconds and doesn't report it.
 """
 
 from __future__ import annotations
@@ -31,39 +31,42 @@
 from fulmarroad_serving._engine_time import reading_price
 
 REMEMBERED_S = 12.0
-"""How long a router counts on a part that it sent to a server: engines keep what was
-used last, and a part that nobody used for longer may have gone."""
+"""Time for which a part that was sent to a server counts as cached there: engines evict
+the least recently used parts, so one that is unused for longer may be gone."""
 
 ASKED_HALF_LIFE_S = 3.0
-"""Time in which the count of a part's calls halves: a part that is asked for now will
-likely be asked for while a new copy is kept."""
+"""Half-life of the number of calls for a part: a part that is in demand now will likely
+be in demand for as long as a new copy is kept."""
 
-COUNTED_PARTS = 5_000
-"""Parts whose calls are counted; those that nobody asked for go first."""
+MAX_COUNTED_PARTS = 5_000
+"""Maximum number of parts whose calls are counted; the least recently asked for are
+dropped first."""
 
-REMEMBERED_PAIRS = 20_000
-"""Pairs of part and server remembered; the parts that nobody used go first."""
+MAX_REMEMBERED_PAIRS = 20_000
+"""Maximum number of remembered pairs of part and server; the least recently used parts
+are dropped first."""
 
 SETTLED_S = 3.0
-"""A server that started less long ago does not have its parts yet."""
+"""Age below which a server is assumed not to have its parts cached yet."""
 
-ON_TIME_PART = 0.75
-"""Part of the objective within which an estimate counts as on time; the rest is margin
-for what other routers send at the same moment."""
+ON_TIME_FRACTION = 0.75
+"""Fraction of the objective within which an estimate counts as on time; the rest is
+margin for calls that other routers send at the same moment."""
 
 EVICTED_PART = 0.5
-"""Part of its reading that a fetched copy costs others: it takes as much memory as one
-that was read, and what goes for it has to be fetched or read again."""
+"""Fraction of a part's reading time that a fetched copy costs other prompts: it uses as
+much memory as one that was read, and the parts evicted for it have to be fetched or
+read again."""
 
 FETCH_SETUP_S = 0.003
-"""Time to open a fetch of a part from another engine, beside its bytes."""
+"""Time to set up a fetch of a part from another engine, without the transfer."""
 
 NEVER = float("-inf")
 
-NOBODY: Mapping[ServerName, float] = {}
+NO_HOLDERS: Mapping[ServerName, float] = {}
 
 OTHER_CENTRE_S = 0.003
-"""Cost of leaving the data centre: both ways between two, and the bytes."""
+"""Cost of a server in another data centre: the round trip and the transfer."""
 
 
 PartId = int
@@ -71,15 +74,18 @@
 
 @frozen
 class Prompt:
-    """Hold what the choice of an engine needs to know of a prompt."""
+    """Hold the properties of a prompt that the choice of an engine needs."""
 
-    part: PartId  # of what it shares with others; 0: nothing
+    part: PartId  # the part shared with other prompts; 0: none
     shared_tokens: int
     own_tokens: int
     objective_s: float  # until its first token
 
     def fetch_s(self, rate: float) -> float:
-        """Return how long an engine takes to fetch the part from another one."""
+        """Return the time to fetch the part from another engine; infinite without one.
+
+        `rate` is in tokens a second.
+        """
         if not rate or not self.part:
             return float("inf")
         return FETCH_SETUP_S + self.shared_tokens / rate
@@ -87,7 +93,7 @@
 
 @frozen
 class Candidate:
-    """Hold what placement knows of one server."""
+    """Hold the estimates for one server that the placement compares."""
 
     server: ServerName
     data_centre: DataCentreName
@@ -96,88 +102,90 @@
     read_rate: float  # prompt tokens a second
     base_s: float  # first token of a cached prompt
     penalty_s: float = 0.0
-    fetch_rate: float = 0.0  # tokens a second from another engine; 0: it can't
+    fetch_rate: float = 0.0  # tokens a second from another engine; 0: no link
 
 
 @frozen
 class Choice:
-    """Say where a call goes and what is expected there."""
+    """Hold the server chosen for a call and the estimates for it."""
 
     server: ServerName
     wait_s: float
     read_s: float
     tokens: int  # prompt tokens to read there
     cached: bool
-    copies: int = 0  # servers that have the part, by what this router knows
-    source: ServerName = ""  # another engine that the part may be fetched from
+    copies: int = 0  # servers that have the part, as far as this router knows
+    source: ServerName = ""  # another engine that may supply the part
 
 
 def part_id(part: str) -> PartId:
-    """Return the number by which routers name a shared part to each other."""
+    """Return the identifier of a shared part in messages between routers."""
     return xxhash.xxh3_64_intdigest(part.encode()) & 0xFFFFFFFF if part else 0
 
 
 @define
 class PartMemory:
-    """Remember which servers were sent which shared part lately, by any router."""
+    """Remember which servers any router recently sent which shared part."""
 
-    _seen: OrderedDict[PartId, dict[ServerName, float]] = field(factory=OrderedDict)
+    _sent_times: OrderedDict[PartId, dict[ServerName, float]] = field(
+        factory=OrderedDict
+    )
     _pairs: int = 0
-    _untold: dict[tuple[PartId, ServerName], None] = field(factory=dict)
-    _asked: OrderedDict[PartId, tuple[float, float]] = field(factory=OrderedDict)
-    """Calls lately, and the time of that count."""
+    _unreported: dict[tuple[PartId, ServerName], None] = field(factory=dict)
+    _call_counts: OrderedDict[PartId, tuple[float, float]] = field(factory=OrderedDict)
+    """The decaying number of calls for each part, and the time of that count."""
 
     def note_asked(self, part: PartId, now: float) -> None:
-        """Count a call that asks for a part here."""
-        self._asked[part] = (self.asked(part, now) + 1.0, now)
-        self._asked.move_to_end(part)
-        if len(self._asked) > COUNTED_PARTS:
-            self._asked.popitem(last=False)
+        """Count a call for a part at this router."""
+        self._call_counts[part] = (self.asked(part, now) + 1.0, now)
+        self._call_counts.move_to_end(part)
+        if len(self._call_counts) > MAX_COUNTED_PARTS:
+            self._call_counts.popitem(last=False)
 
     def asked(self, part: PartId, now: float) -> float:
-        """Return how many calls asked this router for a part lately."""
-        count, at = self._asked.get(part, (0.0, now))
+        """Return the decaying number of calls for a part at this router."""
+        count, at = self._call_counts.get(part, (0.0, now))
         return count * 0.5 ** ((now - at) / ASKED_HALF_LIFE_S)
 
     def send(self, part: PartId, server: ServerName, now: float) -> None:
-        """Note that this router sent a part; peers are told of it once."""
+        """Record that this router sent a part, and queue one report to peers."""
         before = self.sent_at(part, server)
         self.note(part, server, now)
         if now - before > REMEMBERED_S / 2:
-            self._untold[(part, server)] = None
+            self._unreported[(part, server)] = None
 
     def pop_updates(self, most: int) -> tuple[tuple[PartId, ServerName], ...]:
-        """Return what peers were not told yet, the oldest first."""
-        pairs = tuple(self._untold)[:most]
+        """Remove and return up to `most` unreported pairs, the oldest first."""
+        pairs = tuple(self._unreported)[:most]
         for pair in pairs:
-            del self._untold[pair]
+            del self._unreported[pair]
         return pairs
 
     def note(self, part: PartId, server: ServerName, now: float) -> None:
-        """Note that a server was sent a part."""
-        servers = self._seen.setdefault(part, {})
+        """Record that a server was sent a part."""
+        servers = self._sent_times.setdefault(part, {})
         self._pairs += server not in servers
         servers[server] = now
-        self._seen.move_to_end(part)
-        while self._pairs > REMEMBERED_PAIRS:
-            _, oldest = self._seen.popitem(last=False)
+        self._sent_times.move_to_end(part)
+        while self._pairs > MAX_REMEMBERED_PAIRS:
+            _, oldest = self._sent_times.popitem(last=False)
             self._pairs -= len(oldest)
 
     def holders(self, part: PartId) -> Mapping[ServerName, float]:
-        """Return the servers that were sent a part, with the time of the last one."""
-        return self._seen.get(part, NOBODY)
+        """Return the servers that were sent a part, each with the last time."""
+        return self._sent_times.get(part, NO_HOLDERS)
 
     def sent_at(self, part: PartId, server: ServerName) -> float:
-        """Return when a server was sent a part last; long ago if it was not."""
+        """Return when a server was last sent a part; minus infinity if it was not."""
         return self.holders(part).get(server, NEVER)
 
     def has(self, part: PartId, server: ServerName, now: float) -> bool:
-        """Tell whether a server was sent a part lately."""
+        """Return whether a server was recently sent a part."""
         return now - self.sent_at(part, server) < REMEMBERED_S
 
     def forget(self, server: ServerName) -> None:
-        """Drop a server that started again."""
-        for servers in self._seen.values():
+        """Drop the entries of a server that restarted."""
+        for servers in self._sent_times.values():
             if servers.pop(server, None) is not None:
                 self._pairs -= 1
 
@@ -188,12 +196,12 @@
 
 
 def hash_weight(part: PartId, server: ServerName) -> int:
-    """Return by how much a part prefers a server: the same number at every router."""
+    """Return the rendezvous weight of a server for a part, the same at every router."""
     return xxhash.xxh3_64_intdigest(part.to_bytes(8, "big"), _server_seed(server))
 
 
 def home_order(part: PartId, servers: Sequence[ServerName]) -> list[ServerName]:
-    """Return the servers in the order in which a part goes to them."""
+    """Return the servers in the part's order of preference."""
     return sorted(servers, key=lambda server: hash_weight(part, server), reverse=True)
 
 
@@ -210,11 +218,11 @@
     may_read_again: bool = True,
     shortage: float = 0.0,
 ) -> Choice | None:
-    """Return the server for a prompt, counting what each one has cached.
+    """Return the server for a prompt, taking into account which ones have it cached.
 
-    A prompt that may not be read again goes where it is cached, however late: a
-    workspace above its share would else take its surplus from everybody's engines.
-    `shortage` is the part of what callers asked that was turned away.
+    A prompt that may not be read again goes where it is cached, however late:
+    otherwise a workspace above its share would use engine time of all others.
+    `shortage` is the refused fraction of the demand. Return None without candidates.
     """
     if not candidates:
         return None
@@ -223,26 +231,26 @@
     )
     place = {server: number for number, server in enumerate(order)}
     holders = _holders(prompt, candidates, place, memory, now)
-    # An engine that fails calls or is silent may not give a part either.
-    sound = {row.server for row in candidates if row.penalty_s <= 0}
-    sources = [name for name in holders if name in sound]
-    late_s = ON_TIME_PART * prompt.objective_s
+    # An engine that fails calls or doesn't answer may not supply a part either.
+    healthy = {row.server for row in candidates if row.penalty_s <= 0}
+    sources = [name for name in holders if name in healthy]
+    on_time_s = ON_TIME_FRACTION * prompt.objective_s
     price = reading_price(shortage, memory.asked(prompt.part, now))
     best: tuple[Rank, Candidate] | None = None
     for row in candidates:
         cached = row.server in holders
         source = "" if cached else _source(row, sources)
-        read_s, taken_s, _ = _reading(prompt, row, source, cached=cached)
+        read_s, engine_s, _ = _reading_cost(prompt, row, source, cached=cached)
         cost_s = row.wait_s + read_s + row.penalty_s
         if row.data_centre != centre:
             cost_s += OTHER_CENTRE_S
         if not may_read_again:
             rank = (float(not cached), 0.0, cost_s)
-        elif cost_s > late_s or (not cached and row.wait_s > price.spread_wait_s):
-            rank = (2.0, 0.0, cost_s + price.weight * taken_s)
+        elif cost_s > on_time_s or (not cached and row.wait_s > price.spread_wait_s):
+            rank = (2.0, 0.0, cost_s + price.weight * engine_s)
         else:
-            # A part that spreads goes to the same next server from every router, or
-            # each of them would make another engine read it.
+            # All routers copy a part to the same next server; otherwise each router
+            # would make a different engine read it.
             spread = 0 if cached else place.get(row.server, 0)
             rank = (float(not cached), float(spread), cost_s)
         if best is None or rank < best[0]:
@@ -255,12 +263,12 @@
     prompt: Prompt, row: Candidate, holders: Sequence[ServerName], source: ServerName
 ) -> Choice:
     cached = row.server in holders
-    read_s, _, tokens = _reading(prompt, row, source, cached=cached)
+    read_s, _, tokens = _reading_cost(prompt, row, source, cached=cached)
     return Choice(row.server, row.wait_s, read_s, tokens, cached, len(holders), source)
 
 
 def _source(row: Candidate, sources: Sequence[ServerName]) -> ServerName:
-    """Return the engine from which one may fetch, or nothing.
+    """Return the engine to fetch the part from, or an empty name.
 
     Over a link that is slower than reading, a fetch would only delay the prompt.
     """
@@ -269,13 +277,13 @@
     return next((name for name in sources if name != row.server), "")
 
 
-def _reading(
+def _reading_cost(
     prompt: Prompt, row: Candidate, source: ServerName, *, cached: bool
 ) -> tuple[float, float, int]:
-    """Return the time until the first token, what it takes from others, and tokens.
+    """Return the time to the first token, the engine time used, and the tokens to read.
 
-    No class of its own: this runs for each engine of each call, and with objects a
-    placement among thirty engines took 1.6 times as long.
+    The result is a tuple because this runs for each engine of each call: with objects,
+    a placement among thirty engines took 1.6 times as long.
     """
     own = prompt.own_tokens
     read_s = row.base_s + own / row.read_rate
@@ -296,14 +304,14 @@
     memory: PartMemory,
     now: float,
 ) -> list[ServerName]:
-    """Return the servers that should have a prompt's part, the surest first."""
+    """Return the servers that likely have a prompt's part, the most likely first."""
     if not prompt.part:
         return []
     times = memory.holders(prompt.part)
     sent = [(times.get(row.server, NEVER), row) for row in candidates]
-    lately = [(at, row.server) for at, row in sent if now - at < REMEMBERED_S]
-    lately.sort(key=lambda pair: pair[0], reverse=True)
-    holders = [server for _, server in lately]
+    recent = [(at, row.server) for at, row in sent if now - at < REMEMBERED_S]
+    recent.sort(key=lambda pair: pair[0], reverse=True)
+    holders = [server for _, server in recent]
     for _, row in sent:
         is_home = place[row.server] == 0 and row.age_s > SETTLED_S
         if is_home and row.server not in holders:
@@ -318,7 +326,8 @@
 ) -> Choice | None:
     """Return the better of two servers picked at random.
 
-    The least loaded one as many routers see it would get the next call of each.
+    If every router chose the least loaded server, it would get the next call of each.
+    Return None without candidates.
     """
     if not candidates:
         return None
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
@@ -1,13 +1,13 @@
-"""Who is turned away when not everybody can be served: max-min shares by workspace.
-
-Pattern of load: a few workspaces ask several times their usual. First come first served
-then hands out capacity in proportion to what is asked, so that small workspaces are
-crowded out; operators would notice refusals of workspaces that ask for little. Each
-router counts what every workspace asked and got, in tokens read and generated, hears
-the same from its peers, and works out the level at which the capacity is used up. A
-workspace below the level may wait for its whole objective; one above it is granted
-hardly any wait, so that it takes what others leave and nothing of theirs. Nothing is
-turned away while engines idle.
+"""Divide scarce capacity between workspaces by max-min fair shares.
+
+Load pattern: a few workspaces ask for several times their usual demand. First come
+first served divides capacity in proportion to demand and crowds out small workspaces;
+the symptom is refusals of workspaces that ask for little. Each router counts the demand
+and the granted service of every workspace, in tokens read and generated, receives the
+same counts from its peers, and computes the share level at which the capacity is used
+up. A workspace below the level may wait for its whole objective; one above it may
+hardly wait, so it only uses capacity that others leave free. Nothing is refused while
+engines idle.
 """
 
 from __future__ import annotations
@@ -20,53 +20,55 @@
 from fulmarroad_serving._budgets import SlidingSum
 
 SHARE_WINDOW_S = 4.0
-"""Time over which shares are evened out, as the deployments state it."""
+"""Default window over which shares are balanced, as specified for deployments."""
 
 PEER_FRESH_S = 2.0
-"""Age at which a peer's counts are dropped: ten of its reports."""
+"""Age at which a peer's counts expire: ten report intervals."""
 
-FULL_USE = 0.9
-OVER_USE = 1.1
-"""Parts of its share up to which a workspace may wait for its whole objective, and from
-which it gets only what stands empty. The level is that of what is handed out now, so
-the largest workspaces hover at it, and others go before them. A slope that begins lower
-turns away calls within their share beside idle engines."""
+FULL_WAIT_USE = 0.9
+MIN_WAIT_USE = 1.1
+"""Used fractions of a share up to which a workspace may wait for its whole objective,
+and from which it only gets idle engines. The level follows the service granted now, so
+the largest workspaces stay close to it and others are served first. A lower value for
+the start of the slope refuses calls within their share while engines idle."""
 
 REFRESH_S = 0.1
-"""Age of the level that calls are judged by; peers' counts are older than that."""
+"""Interval at which totals and levels are recomputed; peers' counts are older than
+that."""
 
 LACKING_PART = 0.6
-"""Part of what it asks, or of what the best served one gets, below which a workspace
-lacks something. At half of it shares count as unfair; the rest is margin."""
+"""Fraction of its demand, or of what the best served workspace gets if that is less,
+below which a workspace is underserved. Shares count as unfair at half of it; the rest
+is margin."""
 
 LACKING_ASKED = 0.2
-"""Part of what the best served one gets that a workspace has to ask for to count as
-lacking: a few calls that came at a bad moment are no reason to turn others away."""
+"""Minimum demand of an underserved workspace, as a fraction of what the best served one
+gets: a few calls refused by chance are no reason to refuse others."""
 
 UNDERSERVED_WAIT_FRACTION = 0.6
-"""Part that a workspace may wait which lacks something, though it is above its share:
-what a workspace may that is just at its share. Those that get the most leave their
-places then, but with few engines left there is always a queue, and places would go to
-whoever asks at the right moment."""
+"""Minimum wait fraction of an underserved workspace that is above its share; about that
+of one exactly at its share. The largest workspaces yield then, but with few
+engines left there is always a queue, and without this wait the placement of calls would
+depend on chance."""
 
 MIN_WAIT_FRACTION = 0.06
-"""Part that even the largest workspace may wait: an engine with less waiting than a
-small prompt has room for everybody."""
+"""Minimum wait fraction, even of the largest workspace: an engine whose queue is
+shorter than a small prompt has capacity for everyone."""
 
 
 @frozen
 class WorkspaceCount:
-    """Hold what a workspace asked and got in the window, in units of service."""
+    """Hold the demand and granted service of a workspace in the window, in units."""
 
     asked: float
     got: float
 
 
 def max_min_level(asked: Mapping[WorkspaceName, float], capacity: float) -> float:
-    """Return the largest share at which all shares fit into the capacity.
+    """Return the largest share level at which all shares fit into the capacity.
 
-    A workspace that asks for less than the level keeps what it asks. The level is
-    infinite where everything fits.
+    A workspace that asks for less than the level gets all it asks for. The level is
+    infinite if the whole demand fits.
     """
     left = capacity
     rest = sorted(value for value in asked.values() if value > 0)
@@ -79,17 +81,20 @@
 
 
 def wait_fraction(use: float) -> float:
-    """Return the part of an objective that may be spent waiting, by the share used."""
-    return max(MIN_WAIT_FRACTION, min(1.0, (OVER_USE - use) / (OVER_USE - FULL_USE)))
+    """Return the fraction of an objective that a call may wait, by the share used."""
+    return max(
+        MIN_WAIT_FRACTION,
+        min(1.0, (MIN_WAIT_USE - use) / (MIN_WAIT_USE - FULL_WAIT_USE)),
+    )
 
 
 def given_level(totals: Mapping[WorkspaceName, WorkspaceCount], stated: float) -> float:
-    """Return the level of shares of what the engines give, or are stated to give.
+    """Return the share level for the granted or the stated capacity, the larger one.
 
-    With prompts that are mostly cached they give more than is stated; by the stated
-    level alone, whoever asks most would get all of the rest. What is handed out can't
-    be the only measure: after a restart it is nothing, everybody is above a share of
-    nothing, and with everybody refused it stays that way.
+    With prompts that are mostly cached, engines provide more than the stated capacity;
+    with that alone, the workspace that asks most would get the whole surplus. The
+    granted service alone isn't enough either: after a restart it is zero, every
+    workspace exceeds a share of zero, and all calls would be refused for good.
     """
     asked = {name: count.asked for name, count in totals.items()}
     given = sum(count.got for count in totals.values())
@@ -99,7 +104,7 @@
 def underserved_workspaces(
     totals: Mapping[WorkspaceName, WorkspaceCount],
 ) -> frozenset[WorkspaceName]:
-    """Return the workspaces that get far less than they ask and than others get."""
+    """Return the workspaces that get far less than they ask for and than others get."""
     most = max((count.got for count in totals.values()), default=0.0)
     return frozenset(
         name
@@ -110,7 +115,7 @@
 
 
 def shortage(totals: Mapping[WorkspaceName, WorkspaceCount]) -> float:
-    """Return the part of what all workspaces ask that they don't get."""
+    """Return the fraction of the total demand that isn't granted."""
     asked = sum(count.asked for count in totals.values())
     got = sum(min(count.got, count.asked) for count in totals.values())
     return 1.0 - got / asked if asked else 0.0
@@ -118,47 +123,47 @@
 
 @frozen
 class ShareStatus:
-    """Say what a workspace asked and got in the window, in the whole fleet."""
+    """Hold a workspace's demand and granted service in the window, fleet-wide."""
 
     asked: float
     got: float
-    level: float  # an equal share; infinite where everything fits
+    level: float  # an equal share; infinite if the whole demand fits
 
 
 @frozen
 class ShareUse:
-    """Say which part of its share a workspace uses; one is all of it."""
+    """Hold how much of its share a workspace uses, and how it compares to others."""
 
-    used_fraction: float = 0.0  # of an equal share of what is handed out now
+    used_fraction: float = 0.0  # of an equal share of the capacity; 1: all of it
     among_largest: bool = False  # gets about as much as the best served one
-    is_underserved: bool = False  # gets far less than it asks and than others get
-    others_underserved: bool = False  # others get far less of what they ask
-    shortage: float = 0.0  # part of what all ask that is turned away
+    is_underserved: bool = False  # gets far less than it asks for and than others get
+    others_underserved: bool = False  # some other workspace is underserved
+    shortage: float = 0.0  # refused fraction of the total demand
 
     @property
     def yields(self) -> bool:
-        """Tell whether the workspace has to leave its place to others.
+        """Return whether the workspace may only use idle engines.
 
-        Engines' queues go up and down within a tenth of a second. A workspace that asks
-        often meets a short one by chance, however little wait it is granted, and would
-        keep several times the share of one that asks seldom. It may use what stands
-        empty, so nothing is lost while those who lack something ask for other engines.
+        Engines' queues grow and shrink within a tenth of a second. A workspace with
+        many calls finds a short queue by chance, however little it may wait, and would
+        keep several times the share of one with few calls. It may still use idle
+        engines, so no capacity is wasted while underserved workspaces use others.
         """
         return self.among_largest and self.others_underserved
 
     @property
     def may_spread(self) -> bool:
-        """Tell whether engines may read its prompts' shared parts again for it.
+        """Return whether more engines may read the shared parts of its prompts again.
 
-        Above a share they may not, or its surplus is read at everybody's cost; but one
-        that lacks something would be tied to engines that happen to be busy while
-        others stand empty.
+        Above its share they may not, because its surplus would use engine time of all
+        others; but an underserved workspace would be restricted to engines that happen
+        to be busy while others idle.
         """
         return self.is_underserved or self.used_fraction <= 1.0
 
     @property
     def wait_fraction(self) -> float:
-        """Return the part of an objective that may be spent waiting."""
+        """Return the fraction of an objective that a call may wait."""
         part = wait_fraction(self.used_fraction)
         return max(UNDERSERVED_WAIT_FRACTION, part) if self.is_underserved else part
 
@@ -168,9 +173,9 @@
 
 @define
 class ShareBook:
-    """Count what workspaces ask and get in the whole fleet."""
+    """Count the demand and granted service of workspaces in the whole fleet."""
 
-    units_per_s: float = 0.0  # the capacity that operators state; 0: none
+    units_per_s: float = 0.0  # the capacity stated by operators; 0: none
     window_s: float = SHARE_WINDOW_S
     _asked: dict[WorkspaceName, SlidingSum] = field(factory=dict)
     _got: dict[WorkspaceName, SlidingSum] = field(factory=dict)
@@ -182,14 +187,14 @@
     _asked_totals: dict[WorkspaceName, float] = field(factory=dict)
     _granted_units: float = 0.0
     _levels: dict[float, float] = field(factory=dict)
-    """Levels by capacity, for as long as the totals stand: each call asks for one."""
+    """Cached levels by capacity until the totals change: each call needs one."""
     _given_level: float = float("inf")
-    _most: float = 0.0
+    _largest_got: float = 0.0
     _shortage: float = 0.0
     _underserved: frozenset[WorkspaceName] = frozenset()
 
     def note_asked(self, workspace: WorkspaceName, units: float, now: float) -> None:
-        """Count a call that came in."""
+        """Count an incoming call."""
         self._window(self._asked, workspace).add(units, now)
 
     def note_got(self, workspace: WorkspaceName, units: float, now: float) -> None:
@@ -199,10 +204,11 @@
     def refund(
         self, workspace: WorkspaceName, units: float, sent_at: float, now: float
     ) -> None:
-        """Uncount a call that ended without an answer.
+        """Subtract a call that ended without an answer from the granted service.
 
-        Servers crash with the prompts of whoever asks most. Counted as got, those
-        would keep that workspace from others' engines as well, and it has nothing.
+        A crashed server mostly loses prompts of the workspace that asks most. If they
+        counted as granted, that workspace would also be kept off the other engines,
+        although it got nothing.
         """
         if now - sent_at < self.window_s:
             self._window(self._got, workspace).add(-units, now)
@@ -213,7 +219,7 @@
         counts: Mapping[WorkspaceName, WorkspaceCount],
         now: float,
     ) -> None:
-        """Take a peer's counts in."""
+        """Store a peer's counts."""
         self._peers[router] = (now, counts)
 
     def forget(self, routers: Collection[RouterName]) -> None:
@@ -236,30 +242,31 @@
         return counts
 
     def use_of(self, workspace: WorkspaceName, units: float, now: float) -> ShareUse:
-        """Return what a workspace would use of its shares with a call more."""
+        """Return the share use of a workspace including one more call of `units`."""
         self._refresh(now)
         count = self._totals.get(workspace)
         used = (count.got if count else 0.0) + units
         is_underserved = workspace in self._underserved
         return ShareUse(
-            _part_of(used, self._given_level),
-            among_largest=used > LACKING_PART * self._most and not is_underserved,
+            _used_fraction(used, self._given_level),
+            among_largest=used > LACKING_PART * self._largest_got
+            and not is_underserved,
             is_underserved=is_underserved,
             others_underserved=bool(self._underserved - {workspace}),
             shortage=self._shortage,
         )
 
     def granted_units(self, now: float) -> float:
-        """Return the units that all workspaces got in the window."""
+        """Return the units granted to all workspaces in the window."""
         self._refresh(now)
         return self._granted_units
 
     def entitled_fraction(
         self, workspace: WorkspaceName, units: float, now: float
     ) -> float:
-        """Return a workspace's equal share as a part of what it asks, at times above 1.
+        """Return a workspace's equal share as a fraction of its demand; may exceed 1.
 
-        `units` are given in the window; what operators state is the least of it.
+        `units` is the capacity in the window; the stated capacity is its lower bound.
         """
         self._refresh(now)
         count = self._totals.get(workspace)
@@ -272,7 +279,7 @@
         return level / count.asked
 
     def share_status(self, workspace: WorkspaceName, now: float) -> ShareStatus:
-        """Return what a workspace asked and got, against an equal share."""
+        """Return the demand and granted service of a workspace, and the level."""
         self._refresh(now)
         count = self._totals.get(workspace, WorkspaceCount(0.0, 0.0))
         return ShareStatus(count.asked, count.got, self._given_level)
@@ -287,10 +294,10 @@
             if now - at >= PEER_FRESH_S:
                 del self._peers[router]
                 continue
-            for name, theirs in counts.items():
-                mine = totals.get(name, WorkspaceCount(0.0, 0.0))
+            for name, peer_count in counts.items():
+                own = totals.get(name, WorkspaceCount(0.0, 0.0))
                 totals[name] = WorkspaceCount(
-                    mine.asked + theirs.asked, mine.got + theirs.got
+                    own.asked + peer_count.asked, own.got + peer_count.got
                 )
         self._summed_at = now
         self._totals = totals
@@ -299,7 +306,7 @@
         self._asked_totals = {name: count.asked for name, count in totals.items()}
         capacity = self.units_per_s * self.window_s
         self._given_level = given_level(totals, capacity)
-        self._most = max((count.got for count in totals.values()), default=0.0)
+        self._largest_got = max((count.got for count in totals.values()), default=0.0)
         self._underserved = underserved_workspaces(totals)
         self._shortage = shortage(totals)
 
@@ -312,5 +319,5 @@
         return window
 
 
-def _part_of(used: float, level: float) -> float:
+def _used_fraction(used: float, level: float) -> float:
     return 0.0 if level == float("inf") or level <= 0 else used / level
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shortlist.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shortlist.py
@@ -1,11 +1,11 @@
-"""Pick the few servers that one call looks at among all of its service.
-
-Pattern of load: hundreds of routers before scores of engines, all by the same news. If
-each call looked at every engine, every router would find the one that has just come
-free and send there at once; operators would notice one engine far behind among others
-with room, and processor time that grows with routers times engines. So a call looks at
-engines that have its part, at the first ones of its part's own order, which differs
-from part to part, and at a few at random, so that no engine stays unseen.
+"""Select the few servers of a service that are considered for one call.
+
+Load pattern: hundreds of routers share many engines and have the same load reports. If
+each call considered every engine, all routers would send to the one that just became
+free. The symptoms are one overloaded engine among others with capacity, and CPU time
+that grows with routers times engines. So a call considers engines that have its part,
+the first ones in the part's own order, which differs between parts, and a few random
+ones, so that every engine is considered at times.
 """
 
 from __future__ import annotations
@@ -20,33 +20,34 @@
 from fulmarroad_serving._registry import Registered
 from fulmarroad_serving._routing import PartId, hash_weight
 
-HOLDERS = 6
-"""Servers looked at that were sent the part last."""
+HOLDER_CANDIDATES = 6
+"""Candidates that were most recently sent the part."""
 
 HOME_CANDIDATES = 6
-"""Servers looked at from the front of the part's order, where it spreads to."""
+"""Candidates from the start of the part's order, to which the part spreads."""
 
-OTHERS = 4
-"""Servers looked at besides, at random: enough to avoid the fullest, and so few that
-two calls seldom see the same ones."""
+RANDOM_CANDIDATES = 4
+"""Random candidates: enough to avoid the fullest servers, and few enough that two calls
+seldom get the same ones."""
 
-MAX_CANDIDATES = HOLDERS + HOME_CANDIDATES + OTHERS
-"""Servers of a service up to which every call looks at all of them."""
+MAX_CANDIDATES = HOLDER_CANDIDATES + HOME_CANDIDATES + RANDOM_CANDIDATES
+"""Number of servers up to which every call considers the whole service."""
 
-REMEMBERED_ORDERS = 4_096
-"""Parts whose order is remembered: working it out takes as long as placing a call."""
+MAX_CACHED_ORDERS = 4_096
+"""Maximum number of parts whose order is cached: computing one takes as long as placing
+a call."""
 
 
 @define
 class Shortlist:
-    """Pick servers of one service for one router's calls."""
+    """Select candidates of one service for the calls of one router."""
 
     _random: random.Random
     _servers: Sequence[Registered] = ()
     _rows: dict[ServerName, Registered] = field(factory=dict)
     _names: tuple[ServerName, ...] = ()
-    _first: dict[PartId, list[ServerName]] = field(factory=dict)
-    """The front of each part's order."""
+    _cached_orders: dict[PartId, list[ServerName]] = field(factory=dict)
+    """The start of each part's order."""
 
     def pick(
         self,
@@ -54,34 +55,36 @@
         servers: Sequence[Registered],
         holders: Mapping[ServerName, float],
     ) -> Sequence[Registered]:
-        """Return the servers that a call with a part looks at.
+        """Return the servers to consider for a call with a part.
 
-        `holders` tells when each server was sent the part. `servers` has to be the
-        same object for as long as nobody comes or goes.
+        `holders` maps each server that was sent the part to the time. `servers` must
+        be the same object for as long as no server is added or removed.
         """
         if len(servers) <= MAX_CANDIDATES:
             return servers
         if servers is not self._servers:
-            self._start(servers)
+            self._set_servers(servers)
         if not part:
             return self._random.sample(servers, MAX_CANDIDATES)
-        names = dict.fromkeys(heapq.nlargest(HOLDERS, holders, key=holders.__getitem__))
-        names.update(dict.fromkeys(self._front(part)))
-        names.update(dict.fromkeys(self._random.sample(self._names, OTHERS)))
+        names = dict.fromkeys(
+            heapq.nlargest(HOLDER_CANDIDATES, holders, key=holders.__getitem__)
+        )
+        names.update(dict.fromkeys(self._home_candidates(part)))
+        names.update(dict.fromkeys(self._random.sample(self._names, RANDOM_CANDIDATES)))
         return [self._rows[name] for name in names if name in self._rows]
 
-    def _start(self, servers: Sequence[Registered]) -> None:
+    def _set_servers(self, servers: Sequence[Registered]) -> None:
         self._servers = servers
         self._rows = {row.instance.id: row for row in servers}
         self._names = tuple(self._rows)
-        self._first.clear()
+        self._cached_orders.clear()
 
-    def _front(self, part: PartId) -> list[ServerName]:
-        front = self._first.get(part)
-        if front is None:
-            if len(self._first) >= REMEMBERED_ORDERS:
-                self._first.clear()
+    def _home_candidates(self, part: PartId) -> list[ServerName]:
+        first = self._cached_orders.get(part)
+        if first is None:
+            if len(self._cached_orders) >= MAX_CACHED_ORDERS:
+                self._cached_orders.clear()
             weights = {name: hash_weight(part, name) for name in self._names}
-            front = heapq.nlargest(HOME_CANDIDATES, weights, key=weights.__getitem__)
-            self._first[part] = front
-        return front
+            first = heapq.nlargest(HOME_CANDIDATES, weights, key=weights.__getitem__)
+            self._cached_orders[part] = first
+        return first
--- a/packages/fulmarroad-serving/tests/test_baselines.py
+++ b/packages/fulmarroad-serving/tests/test_baselines.py
@@ -1,4 +1,4 @@
-"""Simple ways to place prompts, chosen by a setting."""
+"""Tests of the placement strategies that a setting selects."""
 
 import pytest
 
@@ -20,27 +20,27 @@
     return placement_named(name)(PROMPT, rows, memory, "fes", 10.0)
 
 
-class TestNames:
-    def test_an_unknown_name_says_which_there_are(self):
-        with pytest.raises(ConfigurationError) as caught:
+class TestPlacementNames:
+    def test_unknown_name_raises_an_error_that_lists_the_names(self):
+        with pytest.raises(ConfigurationError) as raised:
             placement_named("best")
-        assert all(name in caught.value.hint for name in PLACEMENTS)
+        assert all(name in raised.value.hint for name in PLACEMENTS)
 
     @pytest.mark.parametrize("name", PLACEMENTS)
-    def test_each_says_that_there_is_no_server(self, name):
+    def test_each_strategy_returns_none_without_candidates(self, name):
         choose = placement_named(name)
         assert choose(PROMPT, [], PartMemory(), "fes", 10.0) is None
 
 
 class TestLeastLoaded:
-    def test_the_least_busy_engine_is_taken_wherever_the_part_is(self):
+    def test_chooses_the_shortest_wait_even_where_the_part_is_not_cached(self):
         memory = PartMemory()
         memory.note(PART, "s-1", 9.0)
         choice = place("least_loaded", {"s-1": 0.01, "s-3": 0.01}, memory=memory)
         assert (choice.server, choice.cached) == ("s-2", False)
         assert choice.tokens == 10_000
 
-    def test_what_happens_to_be_cached_there_is_counted(self):
+    def test_counts_a_part_that_is_cached_at_the_chosen_engine(self):
         memory = PartMemory()
         memory.note(PART, "s-2", 9.0)
         choice = place("least_loaded", {"s-1": 0.01, "s-3": 0.01}, memory=memory)
@@ -48,10 +48,10 @@
 
 
 class TestPrefixOnly:
-    def test_the_home_is_taken_however_busy_it_is(self):
+    def test_chooses_the_home_server_however_busy(self):
         home = home_order(PART, SERVERS)[0]
         choice = place("prefix_only", {home: 3.0})
         assert (choice.server, choice.wait_s, choice.cached) == (home, 3.0, True)
 
-    def test_a_home_that_has_just_started_reads_the_part(self):
+    def test_a_new_home_server_does_not_count_as_cached(self):
         assert not place("prefix_only", {}, age_s=0.5).cached
--- a/packages/fulmarroad-serving/tests/test_dispatch.py
+++ b/packages/fulmarroad-serving/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Placement and refusal put together, under the loads that they answer."""
+"""Tests of placement and refusal by the dispatcher under overload and failures."""
 
 import pytest
 from attrs import evolve
@@ -22,7 +22,7 @@
 CALL = Demand("c-1", "drafting", "coop", 0.4, "part", 6_000, 2_000, 50)
 
 
-def make(count=3, **service):
+def make_dispatcher(count=3, **service):
     dispatcher = Dispatcher("router-a", "fes", BOUNDS, 1)
     rows = {
         "drafting": Service("drafting", engine=EngineProfile(32), **service),
@@ -47,12 +47,12 @@
     return dispatcher.send(demand, placement, now)
 
 
-class TestSaturation:
-    def test_a_burst_is_refused_once_prompts_would_come_late(self):
-        """A hundred long prompts come within a moment. Taken all, every one of them
-        would begin seconds late and callers would give up on all.
+class TestOverload:
+    def test_refuses_part_of_a_burst_once_prompts_would_be_late(self):
+        """A hundred long prompts arrive at once. If all were accepted, each would begin
+        seconds late and every caller would give up.
         """
-        dispatcher = make()
+        dispatcher = make_dispatcher()
         results = [send(dispatcher, evolve(CALL, call_id=f"c-{n}")) for n in range(100)]
         refused = [row for row in results if isinstance(row, Refusal)]
         assert 10 < len(refused) < 95
@@ -62,8 +62,8 @@
         waits = [dispatcher.load(f"drafting-{n}").wait_s(32, 100.0) for n in range(3)]
         assert max(waits) < 2 * CALL.objective_s
 
-    def test_places_are_free_again_as_prompts_begin(self):
-        dispatcher = make()
+    def test_capacity_is_free_again_after_prompts_begin(self):
+        dispatcher = make_dispatcher()
         tickets = [send(dispatcher) for _ in range(100)]
         for ticket in tickets:
             if not isinstance(ticket, Refusal):
@@ -72,37 +72,38 @@
         assert isinstance(dispatcher.place(CALL, 101.0), Placement)
         assert all(dispatcher.load(f"drafting-{n}").running == 0 for n in range(3))
 
-    def test_a_prompt_too_long_to_be_on_time_is_not_refused_for_ever(self):
-        dispatcher = make()
+    def test_places_a_prompt_too_long_for_its_objective(self):
+        dispatcher = make_dispatcher()
         assert not isinstance(
             send(dispatcher, evolve(CALL, own_tokens=60_000)), Refusal
         )
 
-    def test_a_plain_service_with_few_slots_refuses_what_would_wait(self):
-        dispatcher = make()
+    def test_plain_service_refuses_calls_that_would_wait_too_long(self):
+        dispatcher = make_dispatcher()
         demand = Demand("c", "ledger", "coop", 0.2)
         results = [send(dispatcher, demand) for _ in range(40)]
-        taken = [row for row in results if not isinstance(row, Refusal)]
-        assert 6 <= len(taken) < 30
+        placed = [row for row in results if not isinstance(row, Refusal)]
+        assert 6 <= len(placed) < 30
 
-    def test_the_less_urgent_are_turned_away_first(self):
-        dispatcher = make(1)
+    def test_refuses_less_urgent_calls_first(self):
+        dispatcher = make_dispatcher(1)
         results = []
         for n in range(60):
             urgent = send(dispatcher, evolve(CALL, call_id=f"u-{n}"))
-            late = send(dispatcher, evolve(CALL, call_id=f"l-{n}", rank=3))
-            results.append((urgent, late))
+            less_urgent = send(dispatcher, evolve(CALL, call_id=f"l-{n}", rank=3))
+            results.append((urgent, less_urgent))
         urgent = sum(not isinstance(row, Refusal) for row, _ in results)
-        late = sum(not isinstance(row, Refusal) for _, row in results)
-        assert urgent > 2 * late
+        less_urgent = sum(not isinstance(row, Refusal) for _, row in results)
+        assert urgent > 2 * less_urgent
 
 
 class TestShares:
-    def test_calls_that_servers_lost_are_not_counted_as_got(self):
-        """Servers crash under the prompts of the workspace that asks most. If those
-        count, it is held back as the best served one although it got nothing.
+    def test_failed_calls_do_not_count_as_granted(self):
+        """A crashed server mostly loses prompts of the workspace that asks most. If
+        they counted, it would be limited as the best served one although it got
+        nothing.
         """
-        dispatcher = make()
+        dispatcher = make_dispatcher()
         ticket = send(dispatcher)
         assert dispatcher.shares.own_counts(100.1)["coop"].got == CALL.units
         dispatcher.end(ticket, SendOutcome.UNKNOWN, 100.2)
@@ -113,34 +114,34 @@
         assert dispatcher.shares.own_counts(100.3)["coop"].got == CALL.units
 
 
-class TestLongAmongShort:
-    def test_peers_hear_of_a_large_prompt_and_not_of_each_small_one(self):
-        """Six routers share five engines. Each sends a prompt of 20,000 tokens now and
-        then among hundreds of small ones; a report for each call would be noise, none
-        leaves the engine looking idle to the others.
+class TestLargePrompts:
+    def test_reports_only_large_prompts_to_peers_at_once(self):
+        """Six routers share five engines, and each occasionally sends a prompt of
+        20,000 tokens among hundreds of small ones. A report for each call would be
+        wasteful; without a report for the large one, its engine looks idle to others.
         """
-        dispatcher, told = make(), []
-        dispatcher.on_large_prompt = lambda: told.append(1)
+        dispatcher, reports = make_dispatcher(), []
+        dispatcher.on_large_prompt = lambda: reports.append(1)
         for n in range(20):
             send(dispatcher, evolve(CALL, own_tokens=600, part=f"p-{n}"))
-        assert not told
+        assert not reports
         send(dispatcher, evolve(CALL, own_tokens=20_000))
-        assert told == [1]
+        assert reports == [1]
 
 
-class TestServersOut:
-    def test_without_any_the_refusal_is_at_once_and_says_when_to_come_back(self):
-        refusal = make(0).place(CALL, 100.0)
+class TestUnavailableServers:
+    def test_refuses_with_a_retry_delay_when_no_server_is_known(self):
+        refusal = make_dispatcher(0).place(CALL, 100.0)
         assert refusal.reason is RefusalReason.NO_SERVERS
         assert refusal.retry_after_s > 0
 
-    def test_a_server_that_swallows_a_call_is_passed_over(self):
-        """One of three servers answers nothing. It has the least running of all, and
-        without looking at what is overdue every call would go there.
+    def test_avoids_a_server_that_never_answers(self):
+        """One of three servers never answers. It has the fewest running calls, so every
+        call would go there if overdue answers were ignored.
         """
-        dispatcher = make()
+        dispatcher = make_dispatcher()
         for row in dispatcher.registry.rows():
-            # With many slots a growing number of calls alone tells nothing.
+            # With many slots, the number of running calls adds almost no wait.
             dispatcher.registry.put(evolve(row.instance, slots=500), 0.0)
         demand = Demand("c", "ledger", "coop", 0.5)
         dispatcher.load("ledger-0").send("ledger-0", 0, 99.0, 0.05)
@@ -153,8 +154,8 @@
     @pytest.mark.parametrize(
         "outcome", [SendOutcome.UNKNOWN, SendOutcome.FAILED, SendOutcome.NOT_RUN]
     )
-    def test_a_server_that_fails_its_calls_gets_fewer(self, outcome):
-        dispatcher = make()
+    def test_a_failing_server_gets_fewer_calls(self, outcome):
+        dispatcher = make_dispatcher()
         demand = Demand("c", "ledger", "coop", 0.5)
         counts = {}
         for n in range(90):
@@ -168,8 +169,8 @@
             dispatcher.end(ticket, outcome if failed else None, now)
         assert counts["ledger-0"] < 0.2 * sum(counts.values())
 
-    def test_a_cold_server_gets_its_share_and_the_rest_goes_elsewhere(self):
-        dispatcher = make(warmup_rate=12.0)
+    def test_cold_servers_get_no_more_than_their_limit(self):
+        dispatcher = make_dispatcher(warmup_rate=12.0)
         for n in (0, 1):
             dispatcher.registry.mark_cold(f"drafting-{n}", 3.0, 100.0)
         sent = {}
--- a/packages/fulmarroad-serving/tests/test_holding.py
+++ b/packages/fulmarroad-serving/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Calls that find no place at once and may still begin on time."""
+"""Tests of calls that are held until an engine becomes free."""
 
 import anyio
 from attrs import evolve
@@ -9,67 +9,68 @@
 from fulmarroad_serving._holding import HELD_FRACTION, HeldCalls
 from fulmarroad_serving._shares import ShareUse
 
-BUSY = Refusal(RefusalReason.WAIT_TOO_LONG, 0.5, 0.3, ShareUse(0.5), 3, 0.05)
+REFUSAL = Refusal(RefusalReason.WAIT_TOO_LONG, 0.5, 0.3, ShareUse(0.5), 3, 0.05)
 
 
-class TestPace:
-    def test_a_call_looks_again_while_it_may_begin_on_time(self):
-        assert HeldCalls().next_poll_s(BUSY, 0.4, 0.0) > 0
+class TestPollInterval:
+    def test_retries_while_the_call_can_begin_on_time(self):
+        assert HeldCalls().next_poll_s(REFUSAL, 0.4, 0.0) > 0
 
-    def test_a_call_that_cannot_begin_on_time_is_refused_at_once(self):
-        """A prompt takes longer to read than its objective. Held, its caller would hear
-        later that it has to come back, and nothing would have changed.
+    def test_refuses_at_once_when_the_call_cannot_begin_on_time(self):
+        """A prompt takes longer to read than its objective. Holding it would only delay
+        the refusal.
         """
-        long = evolve(BUSY, read_s=0.4)
+        long = evolve(REFUSAL, read_s=0.4)
         assert HeldCalls().next_poll_s(long, 0.4, 0.0) is None
 
-    def test_nothing_is_held_for_half_of_its_objective(self):
+    def test_refuses_when_half_of_the_objective_is_used_up(self):
         held = HeldCalls()
-        assert held.next_poll_s(BUSY, 0.4, HELD_FRACTION * 0.4) is None
-        assert held.next_poll_s(evolve(BUSY, read_s=0.0), 0.4, 0.19) is None
+        assert held.next_poll_s(REFUSAL, 0.4, HELD_FRACTION * 0.4) is None
+        assert held.next_poll_s(evolve(REFUSAL, read_s=0.0), 0.4, 0.19) is None
 
-    def test_without_servers_there_is_nothing_to_wait_for(self):
-        gone = evolve(BUSY, reason=RefusalReason.NO_SERVERS)
-        assert HeldCalls().next_poll_s(gone, 0.4, 0.0) is None
+    def test_refuses_at_once_when_no_server_is_known(self):
+        no_servers = evolve(REFUSAL, reason=RefusalReason.NO_SERVERS)
+        assert HeldCalls().next_poll_s(no_servers, 0.4, 0.0) is None
 
-    def test_who_uses_less_of_its_share_looks_more_often(self):
-        """One workspace floods the fleet and holds many calls. Each of their looks may
-        take the place that comes free before a small workspace looks again.
+    def test_calls_of_a_workspace_below_its_share_retry_more_often(self):
+        """One workspace far above its share has many held calls. If they retried as
+        often, they would take each engine that becomes free before a call of a small
+        workspace retries.
         """
-        small = evolve(BUSY, use=ShareUse(0.1))
-        flood = evolve(BUSY, use=ShareUse(8.0))
+        small = evolve(REFUSAL, use=ShareUse(0.1))
+        large = evolve(REFUSAL, use=ShareUse(8.0))
         held = HeldCalls()
-        assert held.next_poll_s(small, 0.4, 0.0) < 0.5 * held.next_poll_s(flood, 0.4, 0)
+        assert held.next_poll_s(small, 0.4, 0.0) < 0.5 * held.next_poll_s(large, 0.4, 0)
 
-    def test_a_call_does_not_look_before_its_queue_can_have_moved(self):
-        """Every engine is a quarter of a second behind and stays so. Looking each 10 ms
-        a call is placed twenty times to be refused: at a small VM that is most of what
-        its processor does, and calls that could be served are late.
+    def test_calls_behind_a_long_queue_retry_seldom(self):
+        """Every engine constantly has a queue of a quarter of a second. With a retry
+        each 10 ms, a call would be tried twenty times before it is refused. That uses
+        most of the CPU of a small VM and makes calls late that could be served.
         """
-        far = evolve(BUSY, excess_wait_s=0.25)
-        held, held_s, looks = HeldCalls(), 0.0, 0
-        while (pause_s := held.next_poll_s(far, 0.5, held_s)) is not None:
+        long_queue = evolve(REFUSAL, excess_wait_s=0.25)
+        held, held_s, polls = HeldCalls(), 0.0, 0
+        while (pause_s := held.next_poll_s(long_queue, 0.5, held_s)) is not None:
             held_s += pause_s
-            looks += 1
-        assert looks <= 6
+            polls += 1
+        assert polls <= 6
 
-    def test_a_call_beside_a_short_queue_looks_soon(self):
-        near = evolve(BUSY, excess_wait_s=0.005)
-        assert HeldCalls().next_poll_s(near, 0.5, 0.0) <= 0.02
+    def test_calls_behind_a_short_queue_retry_soon(self):
+        short_queue = evolve(REFUSAL, excess_wait_s=0.005)
+        assert HeldCalls().next_poll_s(short_queue, 0.5, 0.0) <= 0.02
 
-    def test_many_held_calls_look_less_often(self):
-        """A burst of hundreds of calls is held at once. Looking each 10 ms they would
-        take the whole processor, and calls that could be served would be late.
+    def test_retries_of_many_held_calls_are_limited(self):
+        """Hundreds of calls are held at once. With a retry each 10 ms for every call,
+        they would use the whole CPU, and calls that could be served would be late.
         """
         held = HeldCalls(count=400)
-        looks = held.count / held.next_poll_s(BUSY, 2.0, 0.0)
-        assert looks <= 500
+        polls = held.count / held.next_poll_s(REFUSAL, 2.0, 0.0)
+        assert polls <= 500
 
 
 class TestHeldCalls:
-    def test_a_place_that_comes_free_in_time_is_taken(self):
-        """An engine is busy for a tenth of a second. A call that is turned away then
-        comes back after its objective, although the engine was free long before it.
+    def test_held_call_is_sent_when_an_engine_becomes_free_in_time(self):
+        """An engine is busy for a tenth of a second. A call that is refused at once is
+        retried after its objective, although the engine was free long before.
         """
 
         async def test(bed):
@@ -92,7 +93,7 @@
 
         run(test)
 
-    def test_without_a_place_the_refusal_says_that_nothing_ran(self):
+    def test_refuses_a_call_unsent_while_engines_stay_busy(self):
         """Every engine stays busy. The call is refused well before its objective."""
 
         async def test(bed):
@@ -110,8 +111,8 @@
 
         run(test)
 
-    def test_the_time_held_counts_against_the_objective(self, monkeypatch):
-        """A call was held for half of its objective. A place where it would begin
+    def test_holding_time_counts_against_the_objective(self, monkeypatch):
+        """A call was held for half of its objective. An engine where it would begin
         within a whole objective from now would make it late.
         """
         monkeypatch.setattr(_holding, "HELD_FRACTION", 0.9)
@@ -126,20 +127,22 @@
             load.send("s-1", 6_000, bed.now())
             busy = load.send("s-1", 60_000, bed.now())
 
-            async def shorten():
+            async def end_one_call():
                 await anyio.sleep(0.03)
                 load.end(busy, begun=False)
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(shorten)
+                tasks.start_soon(end_one_call)
                 caller = await bed.call("/draft/1", method="POST", body=b"p")
             assert caller.status == 503
 
         run(test)
 
-    def test_a_caller_with_no_time_for_another_look_is_told_at_once(self, monkeypatch):
-        """A caller gives up in 30 ms. Held until a later look, its call would end
-        without an answer.
+    def test_refuses_at_once_when_the_deadline_precedes_the_next_retry(
+        self, monkeypatch
+    ):
+        """A caller's deadline expires in 30 ms. If its call were held until a later
+        retry, it would end without an answer.
         """
         monkeypatch.setattr(_holding, "POLL_INTERVAL_S", 60.0)
 
@@ -156,9 +159,9 @@
 
         run(test)
 
-    def test_a_caller_who_leaves_while_held_is_not_sent_on(self):
-        """A caller closes its connection while its call waits for a place. Sent later,
-        the call would run for nobody.
+    def test_does_not_send_a_held_call_after_its_caller_disconnects(self):
+        """A caller disconnects while its call is held. If the call were sent later, its
+        answer would be wasted.
         """
 
         async def test(bed):
--- a/packages/fulmarroad-serving/tests/test_load.py
+++ b/packages/fulmarroad-serving/tests/test_load.py
@@ -1,12 +1,12 @@
-"""Estimates of when an engine begins an answer."""
+"""Tests of the load estimate and of the learned speed of an engine."""
 
 import pytest
 
 from fulmarroad_serving._load import PEER_FRESH_S, READ_RATE, PeerLoad, ServerLoad
 
 
-class TestWaiting:
-    def test_prompts_that_wait_are_counted_until_they_begin(self):
+class TestQueue:
+    def test_waiting_prompts_count_until_they_begin(self):
         load = ServerLoad()
         charge = load.send("s", 9_000, 0.0)
         assert load.wait_s(128, 0.0) == pytest.approx(9_000 / READ_RATE)
@@ -15,14 +15,14 @@
         load.end(charge, begun=True)
         assert load.total_running(0.1) == 0
 
-    def test_a_call_that_never_begins_leaves_nothing_behind(self):
+    def test_a_call_that_ends_before_it_begins_is_removed(self):
         load = ServerLoad()
         load.end(load.send("s", 9_000, 0.0), begun=False)
         assert (load.running, load.waiting_tokens) == (0, 0)
 
-    def test_what_peers_sent_counts_less_as_their_word_ages(self):
+    def test_peer_load_decreases_with_the_age_of_its_report(self):
         """Two routers send long prompts to the same idle engine at once. Without the
-        other's word each would think it idle, and both prompts would come late.
+        other's report each would consider it idle, and both prompts would be late.
         """
         load = ServerLoad()
         load.receive_load("router-b", PeerLoad(3, 20_000), 0.0)
@@ -31,7 +31,7 @@
         assert load.total_running(0.1) == 3
         assert load.total_running(PEER_FRESH_S) == 0
 
-    def test_a_full_engine_costs_the_end_of_an_answer(self):
+    def test_wait_of_a_full_engine_includes_a_penalty(self):
         load = ServerLoad()
         for _ in range(8):
             load.begin(load.send("s", 0, 0.0), 0.1)
@@ -40,9 +40,9 @@
 
 
 class TestLearning:
-    def test_a_slow_engine_shows_after_some_first_tokens(self):
-        """One engine of a pool works at a quarter of its speed. Estimates that stay the
-        same would go on sending it as much as the others.
+    def test_learns_the_speed_of_a_slow_engine(self):
+        """One engine of a pool runs at a quarter of its speed. With a fixed estimate it
+        would get as many calls as the others.
         """
         load, now = ServerLoad(), 0.0
         for _ in range(20):
@@ -52,7 +52,7 @@
             load.end(charge, begun=True)
         assert load.read_rate < READ_RATE / 2
 
-    def test_one_wrong_guess_of_what_was_cached_changes_little(self):
+    def test_one_wrong_cache_assumption_changes_the_speed_little(self):
         load = ServerLoad()
         charge = load.send("s", 17_000, 0.0)
         load.begin(charge, 0.03)
@@ -60,9 +60,9 @@
 
 
 class TestOverdue:
-    def test_a_server_that_never_answers_falls_behind_the_others(self):
-        """A server takes calls and says nothing, so it fails none before their
-        deadlines and has the least waiting of all. Everybody would be sent there.
+    def test_a_server_that_never_answers_becomes_overdue(self):
+        """A server accepts calls and never answers, so none fails before its deadline
+        and the server has the shortest queue. All calls would be sent there.
         """
         load = ServerLoad()
         charge = load.send("s", 0, 0.0, 0.1)
