--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_budgets.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_budgets.py
@@ -143,8 +143,8 @@
 
 
 def _rank(server: ServerName, me: RouterName, routers: list[RouterName]) -> int:
-    def rank_weight(name: RouterName) -> int:
+    def weight(name: RouterName) -> int:
         return xxhash.xxh3_64_intdigest(f"cold\0{server}\0{name}".encode())
 
-    own_weight = rank_weight(me)
-    return sum(1 for name in routers if rank_weight(name) > own_weight)
+    own_weight = weight(me)
+    return sum(1 for name in routers if weight(name) > own_weight)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
@@ -187,7 +187,7 @@
     def reject_early(self, demand: Demand, now: float) -> Refusal | None:
         """Refuse a call without trying a server if its workspace exceeds its share.
 
-        Return nothing for a call that may be placed.
+        Return None for a call that may be placed.
         """
         service = self._catalog.services.get(demand.service)
         if service is None or service.engine is None:
@@ -203,16 +203,14 @@
             return None  # no engine at all; `place` refuses with that reason
         shares = self.shares
         units = engines.capacity(shares.granted_units(now), shares.window_s)
-        admitted = admitted_fraction(
-            shares.entitled_fraction(demand.workspace, units, now)
-        )
-        if demand.hash_fraction <= admitted:
+        part = admitted_fraction(shares.entitled_fraction(demand.workspace, units, now))
+        if demand.hash_fraction <= part:
             return None
-        retry_after_s = self._random.uniform(*RETRY_AFTER_S)
-        retry_after_s += (1.0 - admitted) * self._bounds.share_window_s / 2
+        pause = self._random.uniform(*RETRY_AFTER_S)
+        pause += (1.0 - part) * self._bounds.share_window_s / 2
         use = shares.use_of(demand.workspace, demand.units, now)
-        retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
-        return Refusal(RefusalReason.ABOVE_SHARE, retry_after_s, use=use)
+        pause = min(pause, MAX_RETRY_AFTER_S)
+        return Refusal(RefusalReason.ABOVE_SHARE, pause, use=use)
 
     def may_retry(self, service: ServiceName, now: float) -> bool:
         """Return whether the budget has a retry left."""
@@ -302,13 +300,13 @@
 
     def expire(self, now: float) -> list[ServerName]:
         """Drop expired entries and return the servers that were removed."""
-        gone = self.registry.expire(now)
+        removed = self.registry.expire(now)
         for server in list(self._views):
             view = self._views[server]
             if self.registry.get(server) is None and not view.load.running:
                 del self._views[server]
                 self.parts.forget(server)
-        return gone
+        return removed
 
     def _eligible_servers(
         self,
@@ -406,22 +404,22 @@
         return use.wait_fraction * slack_s * WAIT_FACTOR_PER_RANK**demand.rank
 
     def _refuse_without_server(self) -> Refusal:
-        retry_after_s = self._random.uniform(*NO_SERVER_RETRY_AFTER_S)
-        return Refusal(RefusalReason.NO_SERVERS, retry_after_s)
+        pause = self._random.uniform(*NO_SERVER_RETRY_AFTER_S)
+        return Refusal(RefusalReason.NO_SERVERS, pause)
 
     def _refuse_for_wait(
         self, choice: Choice, use: ShareUse, candidates: int, excess_wait_s: float
     ) -> Refusal:
         early, late = RETRY_AFTER_S
-        retry_after_s = self._random.uniform(early, late)
+        pause = self._random.uniform(early, late)
         over = use.used_fraction - 1.0
         if over > 0:
             # Used share becomes free again as the window slides.
-            retry_after_s += min(over, 1.0) * self._bounds.share_window_s / 2
-        retry_after_s = min(retry_after_s, MAX_RETRY_AFTER_S)
+            pause += min(over, 1.0) * self._bounds.share_window_s / 2
+        pause = min(pause, MAX_RETRY_AFTER_S)
         return Refusal(
             RefusalReason.WAIT_TOO_LONG,
-            retry_after_s,
+            pause,
             choice.wait_s,
             use,
             candidates,
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
@@ -135,11 +135,11 @@
         if tokens < MIN_LEARNED_TOKENS:
             self.base_s += LEARNING_RATE * (min(duration_s, 4 * BASE_S) - self.base_s)
             return
-        measured = tokens / max(duration_s - self.base_s, 0.001)
+        seen = tokens / max(duration_s - self.base_s, 0.001)
         # A prompt that was wrongly believed to be cached, or not to be, makes the
         # engine appear to have a quarter or four times its speed.
         low, high = self.read_rate / MAX_SPEED_RATIO, self.read_rate * MAX_SPEED_RATIO
-        step = math.log(min(max(measured, low), high) / self.read_rate)
+        step = math.log(min(max(seen, low), high) / self.read_rate)
         low, high = READ_RATE_BOUNDS
         learned = self.read_rate * math.exp(LEARNING_RATE * step)
         self.read_rate = min(max(learned, low), high)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
@@ -32,7 +32,7 @@
 
 REMEMBERED_S = 12.0
 """Time for which a part that was sent to a server counts as cached there: engines evict
-the least recently used parts, so one that is unused for longer may be gone."""
+the least recently used parts, so one that is unused for longer may be evicted."""
 
 ASKED_HALF_LIFE_S = 3.0
 """Half-life of the number of calls for a part: a part that is in demand now will likely
@@ -229,12 +229,12 @@
     order = (
         home_order(prompt.part, [r.server for r in candidates]) if prompt.part else []
     )
-    place = {server: number for number, server in enumerate(order)}
-    holders = _holders(prompt, candidates, place, memory, now)
+    positions = {server: number for number, server in enumerate(order)}
+    holders = _holders(prompt, candidates, positions, memory, now)
     # An engine that fails calls or doesn't answer may not supply a part either.
     healthy = {row.server for row in candidates if row.penalty_s <= 0}
     sources = [name for name in holders if name in healthy]
-    on_time_s = ON_TIME_FRACTION * prompt.objective_s
+    late_s = ON_TIME_FRACTION * prompt.objective_s
     price = reading_price(shortage, memory.asked(prompt.part, now))
     best: tuple[Rank, Candidate] | None = None
     for row in candidates:
@@ -246,12 +246,12 @@
             cost_s += OTHER_CENTRE_S
         if not may_read_again:
             rank = (float(not cached), 0.0, cost_s)
-        elif cost_s > on_time_s or (not cached and row.wait_s > price.spread_wait_s):
+        elif cost_s > late_s or (not cached and row.wait_s > price.spread_wait_s):
             rank = (2.0, 0.0, cost_s + price.weight * engine_s)
         else:
             # All routers copy a part to the same next server; otherwise each router
             # would make a different engine read it.
-            spread = 0 if cached else place.get(row.server, 0)
+            spread = 0 if cached else positions.get(row.server, 0)
             rank = (float(not cached), float(spread), cost_s)
         if best is None or rank < best[0]:
             best = (rank, row)
@@ -300,7 +300,7 @@
 def _holders(
     prompt: Prompt,
     candidates: Sequence[Candidate],
-    place: Mapping[ServerName, int],
+    positions: Mapping[ServerName, int],
     memory: PartMemory,
     now: float,
 ) -> list[ServerName]:
@@ -313,7 +313,7 @@
     recent.sort(key=lambda pair: pair[0], reverse=True)
     holders = [server for _, server in recent]
     for _, row in sent:
-        is_home = place[row.server] == 0 and row.age_s > SETTLED_S
+        is_home = positions[row.server] == 0 and row.age_s > SETTLED_S
         if is_home and row.server not in holders:
             holders.append(row.server)
     return holders
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
@@ -88,7 +88,7 @@
     )
 
 
-def given_level(totals: Mapping[WorkspaceName, WorkspaceCount], stated: float) -> float:
+def share_level(totals: Mapping[WorkspaceName, WorkspaceCount], stated: float) -> float:
     """Return the share level for the granted or the stated capacity, the larger one.
 
     With prompts that are mostly cached, engines provide more than the stated capacity;
@@ -97,8 +97,8 @@
     workspace exceeds a share of zero, and all calls would be refused for good.
     """
     asked = {name: count.asked for name, count in totals.items()}
-    given = sum(count.got for count in totals.values())
-    return max_min_level(asked, max(given, stated))
+    granted = sum(count.got for count in totals.values())
+    return max_min_level(asked, max(granted, stated))
 
 
 def underserved_workspaces(
@@ -188,7 +188,7 @@
     _granted_units: float = 0.0
     _levels: dict[float, float] = field(factory=dict)
     """Cached levels by capacity until the totals change: each call needs one."""
-    _given_level: float = float("inf")
+    _share_level: float = float("inf")
     _largest_got: float = 0.0
     _shortage: float = 0.0
     _underserved: frozenset[WorkspaceName] = frozenset()
@@ -248,7 +248,7 @@
         used = (count.got if count else 0.0) + units
         is_underserved = workspace in self._underserved
         return ShareUse(
-            _used_fraction(used, self._given_level),
+            _used_fraction(used, self._share_level),
             among_largest=used > LACKING_PART * self._largest_got
             and not is_underserved,
             is_underserved=is_underserved,
@@ -282,7 +282,7 @@
         """Return the demand and granted service of a workspace, and the level."""
         self._refresh(now)
         count = self._totals.get(workspace, WorkspaceCount(0.0, 0.0))
-        return ShareStatus(count.asked, count.got, self._given_level)
+        return ShareStatus(count.asked, count.got, self._share_level)
 
     def _refresh(self, now: float) -> None:
         if now - self._summed_at >= REFRESH_S:
@@ -305,7 +305,7 @@
         self._levels.clear()
         self._asked_totals = {name: count.asked for name, count in totals.items()}
         capacity = self.units_per_s * self.window_s
-        self._given_level = given_level(totals, capacity)
+        self._share_level = share_level(totals, capacity)
         self._largest_got = max((count.got for count in totals.values()), default=0.0)
         self._underserved = underserved_workspaces(totals)
         self._shortage = shortage(totals)
--- a/packages/fulmarroad-serving/tests/test_dispatch.py
+++ b/packages/fulmarroad-serving/tests/test_dispatch.py
@@ -90,11 +90,11 @@
         results = []
         for n in range(60):
             urgent = send(dispatcher, evolve(CALL, call_id=f"u-{n}"))
-            less_urgent = send(dispatcher, evolve(CALL, call_id=f"l-{n}", rank=3))
-            results.append((urgent, less_urgent))
+            late = send(dispatcher, evolve(CALL, call_id=f"l-{n}", rank=3))
+            results.append((urgent, late))
         urgent = sum(not isinstance(row, Refusal) for row, _ in results)
-        less_urgent = sum(not isinstance(row, Refusal) for _, row in results)
-        assert urgent > 2 * less_urgent
+        late = sum(not isinstance(row, Refusal) for _, row in results)
+        assert urgent > 2 * late
 
 
 class TestShares:
--- a/packages/fulmarroad-serving/tests/test_routing.py
+++ b/packages/fulmarroad-serving/tests/test_routing.py
@@ -122,7 +122,7 @@
 
 
 class TestFetching:
-    """Tests with engines that fetch parts from each other, at various link speeds."""
+    """Tests of engines that fetch parts, mostly at half a million tokens a second."""
 
     def test_does_not_fetch_for_a_slightly_shorter_wait_under_overload(self):
         """Every engine has a queue, and a fetch takes a fiftieth of a second. A prompt
@@ -148,8 +148,8 @@
         choice = choose(PART, {home: 0.5}, rate=120_000.0, fetch_rate=500_000.0)
         assert choice.server != home
         assert (choice.cached, choice.source, choice.tokens) == (False, home, 3_700)
-        uncached = choose(PART, {home: 0.5}, rate=120_000.0)
-        assert choice.read_s < 0.6 * uncached.read_s
+        read = choose(PART, {home: 0.5}, rate=120_000.0)
+        assert choice.read_s < 0.6 * read.read_s
 
     def test_names_a_source_for_a_cached_part_that_may_be_evicted(self):
         """With many long answers running, an engine evicts a part within seconds, but
--- a/packages/fulmarroad-serving/tests/test_shares.py
+++ b/packages/fulmarroad-serving/tests/test_shares.py
@@ -40,9 +40,9 @@
             book.note_asked(workspace, units, now)
         book.note_got("flood", 4_000, now)
         book.note_got("small", 300, now)
-        flood = book.use_of("flood", 100, now).wait_fraction
+        large = book.use_of("flood", 100, now).wait_fraction
         small = book.use_of("small", 100, now).wait_fraction
-        assert flood < 0.6 < small
+        assert large < 0.6 < small
 
     def test_shares_do_not_shrink_to_zero_after_a_restart(self):
         """All routers restart at once under load. Hardly anything was granted yet, so
@@ -106,7 +106,7 @@
             book.note_got(workspace, got, now)
         assert not book.use_of("often", 100, now).yields
 
-    def test_two_workspaces_above_capacity_converge_to_equal_shares(self):
+    def test_better_served_of_two_large_workspaces_may_wait_less(self):
         """Two workspaces ask for several times the engines' capacity, one for twice as
         much as the other. Unless shares follow the granted service, that one gets most.
         """
