--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
@@ -12,7 +12,7 @@
 
 The decision depends only on sums over the fleet. A router that adapted to its own
 measurements would reach another limit than the others, and workspaces whose calls all
-go to that router would be treated differently.
+go to that router would get less than their share.
 """
 
 from __future__ import annotations
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_holding.py
@@ -1,13 +1,13 @@
-"""Decide how long a call without a free engine is held, and how often it is retried.
+"""Decide how long a call without a free engine is held, and how often it polls for one.
 
 Load pattern: engines are busy, but their queues grow and shrink within a tenth of a
-second. A refused call is retried after a third of a second or more and is then late in
-any case, although an engine became free soon after the refusal. The symptom is refusals
-while engines idle. So a call is held while it can still begin on time, and refused as
-soon as it can't. Calls of workspaces that use less of their share retry more often and
-so are placed first. No call retries before the queue can have changed: at a router with
-hundreds of held calls the retries would otherwise use more CPU time than the calls that
-it serves.
+second. A caller retries a refused call after a third of a second or more, so the call
+is late in any case, although an engine became free soon after the refusal. The symptom
+is refusals while engines idle. So a call is held while it can still begin on time, and
+refused as soon as it can't. Calls of workspaces that use less of their share poll more
+often and so are placed first. No call polls before the queue can have changed: at a
+router with hundreds of held calls, polling would otherwise use more CPU time than the
+calls that it serves.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 rest is margin for wrong estimates, which would make a call held for longer late."""
 
 POLL_INTERVAL_S = 0.01
-"""Retry interval of a call whose workspace uses none of its share; twice as long at a
+"""Poll interval of a call whose workspace uses none of its share; twice as long at a
 fully used share, and three times at twice the share or more. About one engine step."""
 
 MAX_POLL_INTERVAL_S = 0.04
-"""Upper bound of the retry interval for long queues: a call that ends, or another
+"""Upper bound of the poll interval for long queues: a call that ends, or another
 engine that is added, can free capacity at any time."""
 
 QUEUE_FRACTION = 0.15
-"""Fraction of the time until the queue would be short enough after which a call
-retries: other engines become free sooner."""
+"""Fraction of the time until the queue would be short enough after which a call polls:
+other engines become free sooner."""
 
 MAX_POLLS_PER_S = 400.0
-"""Maximum retries a second for all held calls of a router: at about 0.1 ms each they
-use 4% of a core."""
+"""Maximum polls a second for all held calls of a router: at about 0.1 ms each they use
+4% of a core."""
 
 SEND_MARGIN_S = 0.02
 """Time reserved for sending, in addition to the reading: two engine steps."""
@@ -43,14 +43,14 @@
 
 @define
 class HeldCalls:
-    """Count the calls that a router holds and schedule their retries."""
+    """Count the calls that a router holds and schedule their polls."""
 
     count: int = 0
 
     def next_poll_s(
         self, refusal: Refusal, objective_s: float, held_s: float
     ) -> float | None:
-        """Return the time until a call retries, or None if it must be refused.
+        """Return the time until a call polls again, or None if it must be refused.
 
         `objective_s` is the whole objective, `held_s` the elapsed part of it.
         """
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
@@ -38,8 +38,8 @@
 
 LACKING_PART = 0.6
 """Fraction of its demand, or of what the best served workspace gets if that is less,
-below which a workspace is underserved. Shares count as unfair at half of it; the rest
-is margin."""
+below which a workspace is underserved. Shares count as unfair below a fraction of a
+half; the rest is margin."""
 
 LACKING_ASKED = 0.2
 """Minimum demand of an underserved workspace, as a fraction of what the best served one
@@ -47,9 +47,9 @@
 
 UNDERSERVED_WAIT_FRACTION = 0.6
 """Minimum wait fraction of an underserved workspace that is above its share; about that
-of one exactly at its share. The largest workspaces yield then, but with few
-engines left there is always a queue, and without this wait the placement of calls would
-depend on chance."""
+of one exactly at its share. The largest workspaces then use only idle engines, but with
+few engines left there is always a queue, and without this wait the placement of calls
+would depend on chance."""
 
 MIN_WAIT_FRACTION = 0.06
 """Minimum wait fraction, even of the largest workspace: an engine whose queue is
--- a/packages/fulmarroad-serving/tests/test_dispatch.py
+++ b/packages/fulmarroad-serving/tests/test_dispatch.py
@@ -47,7 +47,7 @@
     return dispatcher.send(demand, placement, now)
 
 
-class TestOverload:
+class TestSaturation:
     def test_refuses_part_of_a_burst_once_prompts_would_be_late(self):
         """A hundred long prompts arrive at once. If all were accepted, each would begin
         seconds late and every caller would give up.
--- a/packages/fulmarroad-serving/tests/test_holding.py
+++ b/packages/fulmarroad-serving/tests/test_holding.py
@@ -13,7 +13,7 @@
 
 
 class TestPollInterval:
-    def test_retries_while_the_call_can_begin_on_time(self):
+    def test_polls_while_the_call_can_begin_on_time(self):
         assert HeldCalls().next_poll_s(REFUSAL, 0.4, 0.0) > 0
 
     def test_refuses_at_once_when_the_call_cannot_begin_on_time(self):
@@ -32,19 +32,19 @@
         no_servers = evolve(REFUSAL, reason=RefusalReason.NO_SERVERS)
         assert HeldCalls().next_poll_s(no_servers, 0.4, 0.0) is None
 
-    def test_calls_of_a_workspace_below_its_share_retry_more_often(self):
-        """One workspace far above its share has many held calls. If they retried as
-        often, they would take each engine that becomes free before a call of a small
-        workspace retries.
+    def test_calls_of_a_workspace_below_its_share_poll_more_often(self):
+        """One workspace far above its share has many held calls. If they polled as
+        often, they would get each engine that becomes free before a call of a small
+        workspace polls.
         """
         small = evolve(REFUSAL, use=ShareUse(0.1))
         large = evolve(REFUSAL, use=ShareUse(8.0))
         held = HeldCalls()
         assert held.next_poll_s(small, 0.4, 0.0) < 0.5 * held.next_poll_s(large, 0.4, 0)
 
-    def test_calls_behind_a_long_queue_retry_seldom(self):
-        """Every engine constantly has a queue of a quarter of a second. With a retry
-        each 10 ms, a call would be tried twenty times before it is refused. That uses
+    def test_calls_behind_a_long_queue_poll_seldom(self):
+        """Every engine constantly has a queue of a quarter of a second. With a poll
+        every 10 ms, a call would be tried twenty times before it is refused. That uses
         most of the CPU of a small VM and makes calls late that could be served.
         """
         long_queue = evolve(REFUSAL, excess_wait_s=0.25)
@@ -54,13 +54,13 @@
             polls += 1
         assert polls <= 6
 
-    def test_calls_behind_a_short_queue_retry_soon(self):
+    def test_calls_behind_a_short_queue_poll_soon(self):
         short_queue = evolve(REFUSAL, excess_wait_s=0.005)
         assert HeldCalls().next_poll_s(short_queue, 0.5, 0.0) <= 0.02
 
-    def test_retries_of_many_held_calls_are_limited(self):
-        """Hundreds of calls are held at once. With a retry each 10 ms for every call,
-        they would use the whole CPU, and calls that could be served would be late.
+    def test_polls_of_many_held_calls_are_limited(self):
+        """Hundreds of calls are held at once. If each polled every 10 ms, they would
+        use the whole CPU, and calls that could be served would be late.
         """
         held = HeldCalls(count=400)
         polls = held.count / held.next_poll_s(REFUSAL, 2.0, 0.0)
@@ -69,8 +69,8 @@
 
 class TestHeldCalls:
     def test_held_call_is_sent_when_an_engine_becomes_free_in_time(self):
-        """An engine is busy for a tenth of a second. A call that is refused at once is
-        retried after its objective, although the engine was free long before.
+        """An engine is busy for a tenth of a second. If a call is refused at once, its
+        caller retries after its objective, although the engine was free long before.
         """
 
         async def test(bed):
@@ -138,11 +138,11 @@
 
         run(test)
 
-    def test_refuses_at_once_when_the_deadline_precedes_the_next_retry(
+    def test_refuses_at_once_when_the_deadline_precedes_the_next_poll(
         self, monkeypatch
     ):
         """A caller's deadline expires in 30 ms. If its call were held until a later
-        retry, it would end without an answer.
+        poll, it would end without an answer.
         """
         monkeypatch.setattr(_holding, "POLL_INTERVAL_S", 60.0)
 
--- a/packages/fulmarroad-serving/tests/test_shares.py
+++ b/packages/fulmarroad-serving/tests/test_shares.py
@@ -44,7 +44,7 @@
         small = book.use_of("small", 100, now).wait_fraction
         assert large < 0.6 < small
 
-    def test_shares_do_not_shrink_to_zero_after_a_restart(self):
+    def test_shares_do_not_shrink_to_nothing_after_a_restart(self):
         """All routers restart at once under load. Hardly anything was granted yet, so
         each workspace would be far above its share of that, every call would be
         refused, and the granted service would stay close to zero.
--- a/packages/fulmarroad-serving/tests/test_shortlist.py
+++ b/packages/fulmarroad-serving/tests/test_shortlist.py
@@ -113,7 +113,7 @@
     @pytest.mark.parametrize("engines", [30, 78, 300])
     def test_number_of_candidates_does_not_grow_with_the_fleet(self, engines):
         """A fleet grows from thirty engines to three hundred. A router that estimates
-        the wait at all of them for each call, and for each retry of a held call, uses
+        the wait at all of them for each call, and for each poll of a held call, uses
         the whole CPU of a small VM for placement.
         """
         counter = CandidateCounter()
