--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
@@ -1,10 +1,9 @@
-"""What may still be done with a call after each of its sends.
+"""Retry rules: whether a call may be sent again after each attempt.
 
-A call that may not be repeated is lost or doubled by one wrong step here: sent again
-after an unknown outcome it may run twice, and refused as "not run" after one it may
-have run all the same. One record for each call therefore says what is known, and the
-two questions that matter, whether it may be sent and what the caller may be told, are
-answered from it alone.
+An error here loses or duplicates a call that must not be repeated: sent again after an
+unknown outcome it may run twice, and reported as "not run" after one it may have run.
+One record per call therefore decides both whether the call may be sent again and
+whether its caller may be told that it did not run.
 """
 
 from __future__ import annotations
@@ -17,21 +16,22 @@
 
 
 class SendOutcome(enum.StrEnum):
-    """Say what is known after a send has failed."""
+    """What is known about a call after a failed send."""
 
-    NOT_SENT = "not_sent"  # no byte left for the server
-    NOT_RUN = "not_run"  # the server said that it did not run the call
+    NOT_SENT = "not_sent"  # no byte was sent to the server
+    NOT_RUN = "not_run"  # the server reported that it did not run the call
     UNKNOWN = "unknown"  # it may have run
     FAILED = "failed"  # it ran and failed
 
 
-MOST_UNSENT = 3
-"""Servers tried that could not be reached: each costs a quarter of a second."""
+MAX_UNSENT = 3
+"""Maximum number of unreachable servers tried; each costs a connection timeout of a
+quarter of a second."""
 
 
 @define
 class CallProgress:
-    """Hold what is known of one call."""
+    """Track the attempts of one call."""
 
     repeatable: bool
     max_attempts: int
@@ -43,12 +43,12 @@
     tried: set[ServerName] = field(factory=set)
 
     def note_send(self, server: ServerName) -> None:
-        """Note that bytes are about to leave for a server."""
+        """Record a send, just before the first byte is written."""
         self.sends += 1
         self.tried.add(server)
 
     def note_outcome(self, outcome: SendOutcome, server: ServerName) -> None:
-        """Note how a send ended without a whole answer."""
+        """Record the outcome of a send without a complete answer."""
         if outcome is SendOutcome.NOT_SENT:
             self.unsent += 1
             self.tried.add(server)
@@ -56,25 +56,25 @@
             self.may_have_run = True
 
     def forbid_repeats(self) -> None:
-        """Let what was sent be the last, or the next send where there was none."""
+        """Allow no further sends, or a single one if nothing was sent yet."""
         self.max_attempts = min(self.max_attempts, max(1, self.sends))
 
     @property
     def may_send(self) -> bool:
-        """Tell whether the call may be sent (again)."""
-        if self.sends >= self.max_attempts or self.unsent >= MOST_UNSENT:
+        """Whether the call may be sent, or sent again."""
+        if self.sends >= self.max_attempts or self.unsent >= MAX_UNSENT:
             return False
         if self.may_have_run and not self.repeatable:
             return False
-        # A begun answer goes on only where the server can continue after an event.
+        # A partly sent answer can only be resumed after a known event.
         return not self.answer_begun or (self.repeatable and bool(self.last_event_id))
 
     @property
     def is_repeat(self) -> bool:
-        """Tell whether the next send counts against the retry budget."""
+        """Whether the next send counts against the retry budget."""
         return self.sends > 0
 
     @property
     def ran(self) -> Ran:
-        """Return what the caller may be told."""
+        """Whether the call ran, as the caller may be told."""
         return Ran.UNKNOWN if self.may_have_run or self.answer_begun else Ran.NOT_RUN
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_callers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_callers.py
@@ -1,4 +1,4 @@
-"""The application for callers: read a call, check it by the configuration, run it."""
+"""ASGI application for callers: validate each call and forward it."""
 
 from __future__ import annotations
 
@@ -49,17 +49,19 @@
 logger = logging.getLogger("fulmarroad.serving")
 
 NOT_READY_RETRY_S = 0.5
-"""Return to a router that has just started: it knows the configuration within that."""
+"""Retry delay sent by a router that has no configuration yet; it loads one within this
+time after a start."""
 
-LEAST_DEADLINE_S = 0.005
-"""A caller with less time left is gone before its call could reach a server."""
+MIN_DEADLINE_S = 0.005
+"""Shortest remaining time with which a call is forwarded. With less, its deadline would
+pass before it reached a server."""
 
 
 @define
-class _Stages:
-    """Hold what is known of a call while it is carried, for its log line."""
+class _CallRecord:
+    """Collect the facts of a call in progress for its final log line."""
 
-    arrived: float
+    arrived_at: float
     head: CallHead | None = None
     route: ServedRoute | None = None
     workspace: str = ""
@@ -89,81 +91,81 @@
         self._saturation = saturation
         self._clock = clock
         self.ends = WorkspaceOutcomes()
-        """How workspaces' calls ended, until the node tells of it."""
+        """Outcomes of calls by workspace, until the node logs them."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: SendEvent) -> None:
         """Serve one ASGI scope."""
         if scope["type"] != "http":
             return
-        stages = _Stages(self._clock())
-        marks: Headers = []
+        record = _CallRecord(self._clock())
+        extra_headers: Headers = []
         if self._gate.state is not GateState.OPEN or self._saturation.saturated:
-            # Callers who keep their connection would go on sending here.
-            marks.append((b"connection", b"close"))
-        responder = AsgiResponder(send, "", extra_headers=marks)
+            # Callers that kept their connections would keep sending calls here.
+            extra_headers.append((b"connection", b"close"))
+        responder = AsgiResponder(send, "", extra_headers=extra_headers)
         self._gate.enter()
         try:
-            await self._serve(scope, receive, responder, stages)
-            stages.outcome = "served"
+            await self._serve(scope, receive, responder, record)
+            record.outcome = "served"
         except CallerDisconnected:
-            stages.outcome = "caller_left"
+            record.outcome = "caller_left"
         except CallError as error:
-            stages.outcome = error.code
-            await self._fail(error, responder, stages, marks)
+            record.outcome = error.code
+            await self._send_error(error, responder, record, extra_headers)
         except Exception as error:
-            stages.outcome = "internal_error"
+            record.outcome = "internal_error"
             logger.debug("request failure", exc_info=error)
             emit(
                 logger,
                 Event.REQUEST_FAILED,
-                request_id=stages.head.request_id if stages.head else "",
+                request_id=record.head.request_id if record.head else "",
                 cause=repr(error),
             )
             failure = CallError("The router failed. The call may have run.")
-            await self._fail(failure, responder, stages, marks)
+            await self._send_error(failure, responder, record, extra_headers)
         finally:
             self._gate.leave()
-            self._note_end(responder, stages)
+            self._record_end(responder, record)
 
     async def _serve(
         self,
         scope: Scope,
         receive: Receive,
         responder: AsgiResponder,
-        stages: _Stages,
+        record: _CallRecord,
     ) -> None:
-        head = stages.head = self._codec.read_call(scope["headers"])
+        head = record.head = self._codec.read_call(scope["headers"])
         index = self._router_state.index
-        most = self._router_state.catalog.limits.body_bytes
+        max_body_bytes = self._router_state.catalog.limits.body_bytes
         size = sum(len(name) + len(value) for name, value in scope["headers"])
         if size > self._router_state.catalog.limits.header_bytes:
             raise HeadersTooLarge("The headers are larger than callers may send.")
-        body = await read_body(scope["headers"], receive, most)
+        body = await read_body(scope["headers"], receive, max_body_bytes)
         reason = self._gate.refusal()
         if reason is not None or index is None:
             raise Refused(reason or RefusalReason.NOT_READY, NOT_READY_RETRY_S)
-        # The version in force when the call was read whole is the one that counts.
+        # The configuration may have changed while the body was read.
         index = self._router_state.index or index
-        stages.version = index.catalog.version
-        call = self._check(scope, head, body, index, stages)
-        # Before the router's own limit: what it turns away was asked all the same.
-        self._forwarder.admit(call, stages.summary)
+        record.version = index.catalog.version
+        call = self._validate(scope, head, body, index, record)
+        # Calls that the saturation guard sheds count as demand too, so admit first.
+        self._forwarder.admit(call, record.summary)
         if self._saturation.should_shed(call.route.kind):
             pause_s = self._saturation.retry_after_s()
             raise Refused(RefusalReason.ROUTER_BUSY, pause_s)
         await run_until_disconnect(
-            lambda: self._forwarder.run(call, responder, stages.summary),
+            lambda: self._forwarder.run(call, responder, record.summary),
             receive,
             responder,
         )
 
-    def _check(
+    def _validate(
         self,
         scope: Scope,
         head: CallHead,
         body: bytes,
         index: CatalogIndex,
-        stages: _Stages,
+        record: _CallRecord,
     ) -> ServedCall:
         if not head.request_id:
             raise BadRequest("The call has no id.")
@@ -171,17 +173,17 @@
         route = index.route_for(head.host, path.decode("latin-1"))
         if route is None:
             raise RouteNotFound("No route of the configuration takes this call.")
-        stages.route = route
-        holder = self._holder(head, route, index)
-        stages.workspace = holder.name if holder is not None else ""
+        record.route = route
+        holder = self._key_holder(head, route, index)
+        record.workspace = holder.name if holder is not None else ""
         service = pick_target(route.targets, head.request_id)
         if service is None:
             raise Refused(RefusalReason.NO_SERVERS, NOT_READY_RETRY_S)
-        patience = route.timeout_s
+        timeout_s = route.timeout_s
         if head.deadline_s is not None:
-            patience = min(patience, head.deadline_s)
-        deadline = stages.arrived + patience
-        if deadline - self._clock() < LEAST_DEADLINE_S:
+            timeout_s = min(timeout_s, head.deadline_s)
+        deadline = record.arrived_at + timeout_s
+        if deadline - self._clock() < MIN_DEADLINE_S:
             raise Refused(RefusalReason.DEADLINE_PASSED, NOT_READY_RETRY_S)
         query = scope.get("query_string", b"")
         target = path + (b"?" + query if query else b"")
@@ -193,14 +195,14 @@
             body,
             route,
             service,
-            stages.workspace,
+            record.workspace,
             deadline,
-            fingerprint_of(stages.workspace, head.host, scope["method"], target, body),
+            fingerprint_of(record.workspace, head.host, scope["method"], target, body),
             bool(body) or b"content-length" in names or b"transfer-encoding" in names,
             index.rank_of(route, holder),
         )
 
-    def _holder(
+    def _key_holder(
         self, head: CallHead, route: ServedRoute, index: CatalogIndex
     ) -> KeyHolder | None:
         holder = index.holder_of(head.key) if head.key else None
@@ -208,45 +210,45 @@
             raise Unauthorized("Send a known key.")
         return holder
 
-    async def _fail(
+    async def _send_error(
         self,
         error: CallError,
         responder: AsgiResponder,
-        stages: _Stages,
-        marks: Headers,
+        record: _CallRecord,
+        extra_headers: Headers,
     ) -> None:
-        """Answer with an error, or break off an answer that has begun."""
+        """Send an error, or abort an answer that has begun."""
         if responder.begun:
-            # The server closes the connection without its last chunk on an exception,
-            # so that no caller can take the answer for whole.
+            # On an exception the HTTP server closes the connection without the last
+            # chunk, so the caller sees that the answer is incomplete.
             raise AnswerBroken(error.message)
-        own = [*marks, *self._codec.own_headers(stages.head)]
+        headers = [*extra_headers, *self._codec.own_headers(record.head)]
         if error.retry_after_s is not None:
-            own.append((b"retry-after", b"%.2f" % error.retry_after_s))
-        await responder.error(error, own)
+            headers.append((b"retry-after", b"%.2f" % error.retry_after_s))
+        await responder.error(error, headers)
 
-    def _note_end(self, responder: AsgiResponder, stages: _Stages) -> None:
-        seconds = self._clock() - stages.arrived
-        summary, route = stages.summary, stages.route
+    def _record_end(self, responder: AsgiResponder, record: _CallRecord) -> None:
+        seconds = self._clock() - record.arrived_at
+        summary, route = record.summary, record.route
         kind = route.kind.value if route else "none"
-        self._metrics.calls.labels(kind, stages.outcome or "cancelled").inc()
+        self._metrics.calls.labels(kind, record.outcome or "cancelled").inc()
         if summary.first_s:
             self._metrics.first_answer.labels(kind).observe(summary.first_s)
         if summary.begun_s:
             error = summary.begun_s - summary.expected_s
             self._metrics.estimate_error.labels(kind).observe(error)
-        if stages.outcome == "served":
+        if record.outcome == "served":
             self._metrics.whole_answer.labels(kind).observe(seconds)
-        if stages.workspace:
-            self.ends.note(stages.workspace, _share_outcome(stages))
+        if record.workspace:
+            self.ends.note(record.workspace, _share_outcome(record))
         emit(
             logger,
-            _end_event(stages.outcome, responder),
-            request_id=stages.head.request_id if stages.head else "",
-            workspace=stages.workspace,
+            _end_event(record.outcome, responder),
+            request_id=record.head.request_id if record.head else "",
+            workspace=record.workspace,
             route=route.name if route else "",
-            version=stages.version,
-            outcome=stages.outcome,
+            version=record.version,
+            outcome=record.outcome,
             status=responder.status,
             seconds=round(seconds, 4),
             first_s=round(summary.first_s, 4),
@@ -256,9 +258,9 @@
             copies=summary.copies,
             wait_s=round(summary.wait_s, 4),
             held_s=round(summary.held_s, 4),
-            shared_tokens=stages.head.shared_tokens if stages.head else 0,
-            own_tokens=stages.head.own_tokens if stages.head else 0,
-            output_tokens=stages.head.output_tokens if stages.head else 0,
+            shared_tokens=record.head.shared_tokens if record.head else 0,
+            own_tokens=record.head.own_tokens if record.head else 0,
+            output_tokens=record.head.output_tokens if record.head else 0,
             read_tokens=summary.read_tokens,
             expected_s=round(summary.expected_s, 4),
             begun_s=round(summary.begun_s, 4),
@@ -268,7 +270,7 @@
         )
 
 
-_REFUSED = {reason.value for reason in RefusalReason} | {
+_REFUSED_OUTCOMES = {reason.value for reason in RefusalReason} | {
     error.code
     for error in (
         BadRequest,
@@ -280,11 +282,11 @@
 }
 
 
-def _share_outcome(stages: _Stages) -> str:
-    """Return how a call ended for its workspace, with its time where it was served."""
-    if stages.outcome != "served" or stages.route is None:
-        return stages.outcome or "cancelled"
-    return ON_TIME if stages.summary.first_s <= stages.route.objective_s else LATE
+def _share_outcome(record: _CallRecord) -> str:
+    """Return the outcome for the workspace; a served call is on time or late."""
+    if record.outcome != "served" or record.route is None:
+        return record.outcome or "cancelled"
+    return ON_TIME if record.summary.first_s <= record.route.objective_s else LATE
 
 
 def _end_event(outcome: str, responder: AsgiResponder) -> Event:
@@ -294,7 +296,7 @@
         return Event.CALLER_LEFT
     if outcome == RequestBarred.code:
         return Event.REQUEST_BARRED
-    if outcome in _REFUSED:
+    if outcome in _REFUSED_OUTCOMES:
         return Event.REQUEST_REFUSED
     if responder.begun and not responder.finished:
         return Event.STREAM_BROKEN
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
@@ -1,10 +1,10 @@
-"""One connection to a backend server, one call at a time.
+"""HTTP/1.1 connection to a backend server that carries one call at a time.
 
-httpcore hides three things that decide here whether an answer may be used: a second
-answer that arrives late is read as the next one, bytes behind an answer stay in its
-parser, and an answer that ends before the request is sent leaves a connection that
-looks reusable. So the exchange is written on asyncio's transport, with httptools as
-the parser; docs/PLATFORM.md has the trial.
+httpcore is not used because it hides three faults that make an answer or a connection
+unusable: it reads a late second answer as the next call's, it keeps bytes that follow
+an answer in its parser, and it reuses a connection whose answer ended before the
+request was sent completely. This module therefore uses asyncio's transport with
+httptools as the parser; docs/PLATFORM.md describes the trial.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 )
 
 PAUSE_READING_BYTES = 256 * 1024
-"""Unread bytes of an answer above which the server has to wait for the caller."""
+"""Unread bytes of an answer above which reading pauses until the caller catches up."""
 
 USER_TIMEOUT_MS = 3_000
-"""Time without acknowledgement after which the kernel gives a connection up; a path
-that swallows packets would otherwise hold a call until its deadline."""
+"""Time without acknowledgement after which the kernel closes a connection. A path that
+drops all packets would otherwise block a call until its deadline."""
 
 FIRST_FINAL_STATUS = 200
 
@@ -40,7 +40,7 @@
 
 
 ReadHead = Callable[[int, Sequence[Header]], AnswerHead | None]
-"""Decode the head of an answer; nothing for one that belongs to another call."""
+"""Decode the head of an answer; return `None` if it belongs to another call."""
 
 
 @frozen
@@ -49,7 +49,7 @@
 
 
 @frozen
-class _End:
+class _EndOfAnswer:
     pass
 
 
@@ -59,11 +59,11 @@
 
 
 @frozen
-class _Lost(_Broken):
-    """The connection ended before the answer did."""
+class _ConnectionClosed(_Broken):
+    """Report a connection that closed before the end of the answer."""
 
 
-_Part = AnswerHead | _Body | _End | _Broken
+_Part = AnswerHead | _Body | _EndOfAnswer | _Broken
 
 
 class BackendConnection(asyncio.Protocol):
@@ -76,15 +76,15 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[Header] = []
         self._read_head: ReadHead = lambda status, headers: None
-        self._expects = False  # an answer is due
+        self._awaiting_answer = False  # a call waits for its answer
         self._in_answer = False
-        self._skipping = False  # an answer to an earlier call
-        self._framed = False
-        self._unread = 0
-        self._spoiled = False
+        self._skipping = False  # this answer belongs to another call
+        self._has_framing = False
+        self._unread_bytes = 0
+        self._unusable = False
         self._closed = False
-        self._closing_announced = False
-        self._interim = False  # a head that only announces another
+        self._will_close = False
+        self._interim = False  # a 1xx head, which precedes the final one
         self.keep_alive_s: float | None = None
         self.idle_since = 0.0
         self.calls = 0
@@ -92,56 +92,56 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport and set the limits on silence."""
+        """Store the transport and enable TCP keep-alive and the user timeout."""
         self._transport = cast(asyncio.Transport, transport)
-        set_silence_limits(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nobody waits for spoil the connection."""
-        if not self._expects:
-            self._spoil()
+        """Parse received bytes; without a pending call, reject the connection."""
+        if not self._awaiting_answer:
+            self._mark_unusable()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self._expects:
-                self._add(_Broken(f"no HTTP: {error}"))
-            self._spoil()
+            if self._awaiting_answer:
+                self._add(_Broken(f"invalid HTTP: {error}"))
+            self._mark_unusable()
 
     def eof_received(self) -> bool:
-        """Take the end of the stream; it ends an answer without a length."""
-        if self._in_answer and not self._framed:
+        """Handle the end of the stream, which ends an answer without a length."""
+        if self._in_answer and not self._has_framing:
             self._finish()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Break the call that runs."""
+        """Fail the pending call."""
         self._closed = True
-        if self._expects:
+        if self._awaiting_answer:
             cause = repr(error) if error else "closed by the server"
-            self._add(_Lost(cause))
+            self._add(_ConnectionClosed(cause))
         self._wake()
 
     # httptools callbacks
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one too many spoils the connection."""
+        """Start an answer; an unexpected one makes the connection unusable."""
         self._headers = []
-        if not self._expects:
-            self._spoiled = True
+        if not self._awaiting_answer:
+            self._unusable = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the head on."""
-        if not self._expects:
+        """Queue the head of the answer."""
+        if not self._awaiting_answer:
             return
         self._in_answer = True
         lengths = [v for n, v in self._headers if n.lower() == b"content-length"]
         chunked = any(n.lower() == b"transfer-encoding" for n, _ in self._headers)
-        self._framed = bool(lengths) or chunked
+        self._has_framing = bool(lengths) or chunked
         self._note_connection_headers()
         status = self._parser.get_status_code()
         self._interim = status < FIRST_FINAL_STATUS
@@ -150,41 +150,41 @@
         head = self._read_head(status, self._headers)
         self._skipping = head is None
         if head is None:
-            self._closing_announced = True
+            self._will_close = True
         else:
             self._add(head)
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body on."""
-        if not self._expects or self._skipping:
+        """Queue a part of the body."""
+        if not self._awaiting_answer or self._skipping:
             return
-        self._unread += len(body)
+        self._unread_bytes += len(body)
         self._add(_Body(body))
-        if self._unread > PAUSE_READING_BYTES and self._transport:
+        if self._unread_bytes > PAUSE_READING_BYTES and self._transport:
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """End the answer."""
+        """Finish the answer."""
         if self._interim:
             return
         if self._skipping:
             self._skipping = False
             self._in_answer = False
-        elif self._expects:
+        elif self._awaiting_answer:
             self._finish()
 
     # calls
 
     @property
     def reusable(self) -> bool:
-        """Tell whether another call may go over this connection.
+        """Whether another call may use this connection.
 
-        One whose request is not all sent would get the rest of it in the place of the
-        next request, and one with unexpected bytes would answer the wrong call.
+        If a request is not sent completely, the server would read the next request as
+        its rest. After unexpected bytes, the next call could get a wrong answer.
         """
-        if self._transport is None or self._closed or self._spoiled:
+        if self._transport is None or self._closed or self._unusable:
             return False
-        if self._expects or self._closing_announced or self._parts:
+        if self._awaiting_answer or self._will_close or self._parts:
             return False
         return (
             not self._transport.is_closing()
@@ -192,11 +192,11 @@
         )
 
     def send(self, request: bytes, read_head: ReadHead) -> None:
-        """Write a whole request; the transport sends what the server's window takes."""
+        """Write a complete request; the transport sends it as the server accepts it."""
         assert self._transport is not None
         self.calls += 1
         self._read_head = read_head
-        self._expects = True
+        self._awaiting_answer = True
         self._transport.write(request)
 
     async def head(self, timeout_s: float) -> AnswerHead:
@@ -204,22 +204,22 @@
         part = await self._next(timeout_s)
         if isinstance(part, AnswerHead):
             return part
-        raise _broken(part)
+        raise _answer_error(part)
 
     async def body(self, timeout_s: float) -> bytes | None:
-        """Return the next part of the body, or nothing at its end."""
+        """Return the next part of the body, or `None` at its end."""
         part = await self._next(timeout_s)
         if isinstance(part, _Body):
-            self._unread -= len(part.data)
-            if self._unread <= PAUSE_READING_BYTES // 2 and self._transport:
+            self._unread_bytes -= len(part.data)
+            if self._unread_bytes <= PAUSE_READING_BYTES // 2 and self._transport:
                 self._transport.resume_reading()
             return part.data
-        if isinstance(part, _End):
+        if isinstance(part, _EndOfAnswer):
             return None
-        raise _broken(part)
+        raise _answer_error(part)
 
     def close(self) -> None:
-        """Close at once, which cancels the call at the server."""
+        """Close immediately, which cancels the call at the server."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -243,7 +243,7 @@
         if not self._parts:
             if self._closed:
                 raise ConnectionBrokenError("The connection is closed.")
-            raise SilentServerError(f"No byte came for {timeout_s:.2f} s.")
+            raise SilentServerError(f"The server sent nothing for {timeout_s:.2f} s.")
 
     def _add(self, part: _Part) -> None:
         self._parts.append(part)
@@ -255,14 +255,14 @@
 
     def _finish(self) -> None:
         self._in_answer = False
-        self._expects = False
-        if not self._framed or not self._parser.should_keep_alive():
-            self._closing_announced = True
-        self._add(_End())
-
-    def _spoil(self) -> None:
-        self._spoiled = True
-        self._expects = False
+        self._awaiting_answer = False
+        if not self._has_framing or not self._parser.should_keep_alive():
+            self._will_close = True
+        self._add(_EndOfAnswer())
+
+    def _mark_unusable(self) -> None:
+        self._unusable = True
+        self._awaiting_answer = False
         if self._transport is not None and not self._parts:
             self._transport.abort()
 
@@ -270,21 +270,26 @@
         for name, value in self._headers:
             lowered = name.lower()
             if lowered == b"connection" and b"close" in value.lower():
-                self._closing_announced = True
+                self._will_close = True
             elif lowered == b"keep-alive":
-                self.keep_alive_s = _keep_alive(value)
+                self.keep_alive_s = _keep_alive_timeout(value)
 
 
-def _broken(part: _Part) -> BrokenAnswerError:
-    cause = part.cause if isinstance(part, _Broken) else "it is out of order"
-    kind = ConnectionBrokenError if isinstance(part, _Lost) else BrokenAnswerError
+def _answer_error(part: _Part) -> BrokenAnswerError:
+    cause = part.cause if isinstance(part, _Broken) else "its parts came out of order"
+    kind = (
+        ConnectionBrokenError
+        if isinstance(part, _ConnectionClosed)
+        else BrokenAnswerError
+    )
     return kind(f"The answer broke off: {cause}.")
 
 
-def set_silence_limits(raw: socket.socket | None) -> None:
-    """Make the kernel give up a connection whose other end is silent.
+def enable_dead_peer_detection(raw: socket.socket | None) -> None:
+    """Make the kernel close a connection whose peer no longer responds.
 
-    A path can go silent for good without a reset; nobody would notice until a deadline.
+    A network path can fail without a reset, which would otherwise go unnoticed until a
+    call's deadline.
     """
     if raw is None:
         return
@@ -296,7 +301,7 @@
     raw.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
-def _keep_alive(value: bytes) -> float | None:
+def _keep_alive_timeout(value: bytes) -> float | None:
     for item in value.split(b","):
         name, _, number = item.strip().partition(b"=")
         if name.lower() == b"timeout" and number.strip().isdigit():
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_exchange.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_exchange.py
@@ -1,4 +1,4 @@
-"""Carry one exchange with a backend server: send a call, hand its answer on."""
+"""Exchange with a backend server: send a call and forward its answer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fulmarroad_serving._dispatch import Dispatcher
 from fulmarroad_serving._registry import Instance
 from fulmarroad_serving._served_call import ActiveCall
-from fulmarroad_serving._stream import StreamEvents, WholeEvents
+from fulmarroad_serving._stream import EventSplitter, StreamEvents
 from fulmarroad_serving.contracts import AnswerHead, CallCodec
 from fulmarroad_serving.exceptions import (
     BrokenAnswerError,
@@ -19,29 +19,31 @@
     OtherInstanceError,
 )
 
-HELD_BODY_BYTES = 256 * 1024
-"""Answers up to this size are read whole before their head goes on, so that one that
-breaks off can still be repeated or told as a failure instead of being cut."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Answers up to this size are read completely before their head is forwarded, so that
+a call whose answer breaks off can be retried or reported as failed instead of ending in
+a truncated answer."""
 
-FIRST_EVENT_OBJECTIVES = 2.5
-"""Multiple of the objective after which a silent server is given up, where the call may
-go on elsewhere: late already, and callers leave after about four."""
+FIRST_EVENT_TIMEOUT_FACTOR = 2.5
+"""Multiple of the objective after which a call leaves a silent server, if it may be
+retried elsewhere. The answer is late by then, and callers give up after about four
+times the objective."""
 
-MIN_SILENCE_S = 0.7
-"""Silence that is never taken as a failure: a lost packet is sent again within it."""
+MIN_SILENCE_TIMEOUT_S = 0.7
+"""Shortest silence that counts as a failure; TCP retransmits a lost packet sooner."""
 
-PAUSE_OBJECTIVES = 4.0
-"""Multiple of the promised pause after which a stream goes on elsewhere."""
+STREAM_PAUSE_TIMEOUT_FACTOR = 4.0
+"""Multiple of the pause objective after which a stream is resumed elsewhere."""
 
 REFUSING_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise callers that a call has not run."""
+"""Statuses that callers read as a promise that the call has not run."""
 
 STATUS_MISDIRECTED = 421
 FIRST_FAILURE_STATUS = 500
 
 
 class Exchanger:
-    """Carry exchanges, one for each time that a call is sent."""
+    """Perform one exchange for each send of a call."""
 
     def __init__(
         self, dispatcher: Dispatcher, codec: CallCodec, clock: Callable[[], float]
@@ -57,22 +59,25 @@
         instance: Instance,
         ticket: Ticket,
     ) -> None:
-        """Send a call and hand its answer on; raise `SendError` without a whole one."""
+        """Send a call and forward its answer.
+
+        Raises `SendError` if the answer is not complete.
+        """
         request = self._request_bytes(run, instance, ticket.source)
         request_id = run.call.head.request_id
 
         def read_head(status: int, headers: object) -> AnswerHead | None:
             head = self._codec.read_answer(status, headers)  # type: ignore[arg-type]
-            mine = not head.request_id or head.request_id == request_id
-            return head if mine else None
+            matches = not head.request_id or head.request_id == request_id
+            return head if matches else None
 
         connection.send(request, read_head)
-        head = await connection.head(self._silence_s(run))
+        head = await connection.head(self._silence_timeout_s(run))
         self._check_head(head, instance)
         if run.call.route.kind is CallKind.STREAM and head.status < 300:
-            await self._pass_stream(run, connection, head, ticket)
+            await self._forward_stream(run, connection, head, ticket)
         else:
-            await self._pass_whole(run, connection, head, ticket)
+            await self._forward_buffered(run, connection, head, ticket)
 
     def _request_bytes(
         self, run: ActiveCall, instance: Instance, source: Instance | None
@@ -82,7 +87,7 @@
             call.head,
             instance=instance.id,
             workspace=call.workspace,
-            remaining_s=run.left_s(self._clock()),
+            remaining_s=run.remaining_s(self._clock()),
             last_event_id=run.progress.last_event_id or call.head.last_event_id,
             source=source,
         )
@@ -99,17 +104,19 @@
         if head.status == STATUS_MISDIRECTED:
             raise OtherInstanceError("Another backend server has the address.")
         if head.not_run:
-            raise NotRunError(f"The server did not run it (status {head.status}).")
+            raise NotRunError(
+                f"The server did not run the call (status {head.status})."
+            )
         if head.status in REFUSING_STATUSES:
             raise BrokenAnswerError(
                 f"Status {head.status} does not say whether the call ran."
             )
         if head.status < 300 and not head.signed:
-            raise BrokenAnswerError("A success without the server's signature.")
+            raise BrokenAnswerError("The success answer lacks the server's signature.")
         if head.status < 300 and head.encoded:
-            raise BrokenAnswerError("A body in an encoding that was not asked for.")
+            raise BrokenAnswerError("The body has an encoding that was not requested.")
 
-    async def _pass_whole(
+    async def _forward_buffered(
         self,
         run: ActiveCall,
         connection: BackendConnection,
@@ -118,11 +125,13 @@
     ) -> None:
         parts: list[bytes] = []
         size = 0
-        while (chunk := await connection.body(run.left_s(self._clock()))) is not None:
+        while (
+            chunk := await connection.body(run.remaining_s(self._clock()))
+        ) is not None:
             parts.append(chunk)
             size += len(chunk)
-            if size > HELD_BODY_BYTES:
-                await self._pass_large(run, connection, head, parts)
+            if size > MAX_BUFFERED_BYTES:
+                await self._forward_unbuffered(run, connection, head, parts)
                 return
         self._note_begun(run, ticket)
         body = b"".join(parts)
@@ -132,13 +141,13 @@
         await self.answer(run, head, body)
 
     async def answer(self, run: ActiveCall, head: AnswerHead, body: bytes) -> None:
-        """Hand on an answer that was read whole."""
+        """Forward an answer that was read completely."""
         run.summary.first_s = self._clock() - run.begun_at
         length = (b"content-length", str(len(body)).encode())
         await run.responder.begin(head.status, [*head.forward, length])
         await run.responder.finish(body)
 
-    async def _pass_large(
+    async def _forward_unbuffered(
         self,
         run: ActiveCall,
         connection: BackendConnection,
@@ -149,32 +158,34 @@
         await run.responder.begin(head.status, list(head.forward))
         for part in parts:
             await run.responder.send(part)
-        while (chunk := await connection.body(run.left_s(self._clock()))) is not None:
+        while (
+            chunk := await connection.body(run.remaining_s(self._clock()))
+        ) is not None:
             await run.responder.send(chunk)
         await run.responder.finish()
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         run: ActiveCall,
         connection: BackendConnection,
         head: AnswerHead,
         ticket: Ticket,
     ) -> None:
-        events = WholeEvents()
+        events = EventSplitter()
         while True:
-            chunk = await connection.body(self._silence_s(run))
+            chunk = await connection.body(self._silence_timeout_s(run))
             if chunk is None:
                 break
             whole = events.feed(chunk)
             if whole is not None:
-                await self._pass_events(run, head, whole, ticket)
+                await self._forward_events(run, head, whole, ticket)
         if events.pending:
             raise BrokenAnswerError("The stream ended in the middle of an event.")
         if not run.responder.begun:
             raise BrokenAnswerError("The stream ended before its first event.")
         await run.responder.finish()
 
-    async def _pass_events(
+    async def _forward_events(
         self, run: ActiveCall, head: AnswerHead, whole: StreamEvents, ticket: Ticket
     ) -> None:
         self._note_begun(run, ticket)
@@ -192,21 +203,21 @@
             run.summary.begun_s = now - ticket.charge.sent_at
             self._dispatcher.begin(ticket, now)
 
-    def _silence_s(self, run: ActiveCall) -> float:
-        """Return how long a server may be silent now.
+    def _silence_timeout_s(self, run: ActiveCall) -> float:
+        """Return how many seconds the server may be silent now.
 
-        A call that can't go on elsewhere waits until its deadline: ending it sooner
-        would lose an answer that may still come.
+        A call that can't be retried elsewhere waits until its deadline: giving up
+        sooner would lose an answer that may still come.
         """
         now = self._clock()
-        left = max(0.0, run.left_s(now))
+        left = max(0.0, run.remaining_s(now))
         route, progress = run.call.route, run.progress
         if not progress.repeatable or progress.sends >= progress.max_attempts:
             return left
         if not self._dispatcher.may_retry(run.demand.service, now):
             return left
         if progress.answer_begun:
-            limit = PAUSE_OBJECTIVES * route.pause_objective_s
+            limit = STREAM_PAUSE_TIMEOUT_FACTOR * route.pause_objective_s
         else:
-            limit = FIRST_EVENT_OBJECTIVES * route.objective_s
-        return min(left, max(MIN_SILENCE_S, limit))
+            limit = FIRST_EVENT_TIMEOUT_FACTOR * route.objective_s
+        return min(left, max(MIN_SILENCE_TIMEOUT_S, limit))
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fingerprints.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fingerprints.py
@@ -1,11 +1,15 @@
-"""Know a request again: by caller, path and body, not by the id of one attempt."""
+"""Fingerprints that are equal for all attempts of a request.
+
+They cover the caller, the target and the body, not the request id of one attempt.
+"""
 
 from __future__ import annotations
 
 import hashlib
 
 FINGERPRINT_BYTES = 16
-"""Long enough that nobody finds a body that passes for another caller's request."""
+"""Long enough that nobody can find a body whose fingerprint equals that of another
+caller's request."""
 
 Fingerprint = bytes
 
@@ -13,7 +17,7 @@
 def hash_fraction_of(fingerprint: Fingerprint) -> float:
     """Return a number from 0 to 1 that is the same for each attempt of a request.
 
-    A caller that tries more often gets no more chances by it.
+    Retrying therefore does not give a caller another draw.
     """
     return int.from_bytes(fingerprint[:8], "big") / 2**64
 
@@ -21,10 +25,10 @@
 def fingerprint_of(
     caller: str, host: str, method: str, target: bytes, body: bytes
 ) -> Fingerprint:
-    """Return what every attempt of a request has in common."""
+    """Return the fingerprint shared by all attempts of a request."""
     digest = hashlib.sha256()
     for field in (caller.encode(), host.encode(), method.encode(), target):
-        # With its length, so that no two rows of fields run into the same bytes.
+        # The length prefix keeps different fields from joining to the same bytes.
         digest.update(b"%d:" % len(field) + field)
     digest.update(body)
     return digest.digest()[:FINGERPRINT_BYTES]
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
@@ -1,7 +1,7 @@
-"""Carry one call to its end: place it, send it, hand its answer on, resume it.
+"""Forward a call to backend servers: place it, send it, retry or resume it.
 
-The decisions are the dispatcher's and the call's own record; this module does what they
-say and tells them what happened.
+The dispatcher and the call's progress record decide what may be done. This module
+carries out their decisions and reports the results back to them.
 """
 
 from __future__ import annotations
@@ -54,12 +54,13 @@
 
 logger = logging.getLogger("fulmarroad.serving")
 
-MISSED_RETRY_S = 0.5
-"""Return after a call that every server tried refused: queues move in this time."""
+ALL_REFUSED_RETRY_S = 0.5
+"""Retry delay after every server that was tried refused a call. Server queues advance
+within this time."""
 
 
 class Forwarder:
-    """Carry calls to backend servers."""
+    """Forward calls to backend servers."""
 
     def __init__(
         self,
@@ -75,10 +76,10 @@
         self._clock = clock
         self._held = HeldCalls()
         self._exchanger = Exchanger(dispatcher, codec, clock)
-        self._ended = CrashDetector(pool, dispatcher.registry, clock)
+        self._crash_detector = CrashDetector(pool, dispatcher.registry, clock)
 
     def admit(self, call: ServedCall, summary: CallSummary) -> None:
-        """Count a call that came in, or raise `Refused` if it isn't to be tried."""
+        """Count an incoming call; raise `Refused` if it must not be attempted."""
         now, demand = self._clock(), demand_of(call)
         self._dispatcher.note_asked(demand, now)
         refusal = self._dispatcher.reject_early(demand, now)
@@ -89,7 +90,7 @@
     async def run(
         self, call: ServedCall, responder: Responder, summary: CallSummary
     ) -> None:
-        """Answer a call that was admitted, or raise `CallError`."""
+        """Answer an admitted call, or raise `CallError`."""
         now = self._clock()
         run = ActiveCall(
             call,
@@ -99,9 +100,9 @@
             summary,
             now,
         )
-        error: SendError | None = self._withheld(run)
+        error: SendError | None = self._withheld_error(run)
         while True:
-            if error is not None and not self._may_go_on(run, error):
+            if error is not None and not self._may_retry(run, error):
                 await self._give_up(run, error)
                 return
             placement = self._place(run)
@@ -114,18 +115,18 @@
             if error is None:
                 return
 
-    def _may_go_on(self, run: ActiveCall, error: SendError) -> bool:
+    def _may_retry(self, run: ActiveCall, error: SendError) -> bool:
         if isinstance(error, WithheldError):
             return False
         self._limit_repeats(run)
-        if not run.progress.may_send or run.left_s(self._clock()) <= 0:
+        if not run.progress.may_send or run.remaining_s(self._clock()) <= 0:
             return False
         if not run.progress.is_repeat:
             return True
         return self._dispatcher.take_retry(run.demand.service, self._clock())
 
-    def _withheld(self, run: ActiveCall) -> WithheldError | None:
-        """Return why the call may not be sent, by the servers that ended under it."""
+    def _withheld_error(self, run: ActiveCall) -> WithheldError | None:
+        """Return an error if crashes under this request forbid sending it now."""
         suspects, now = self._dispatcher.suspects, self._clock()
         fingerprint = run.call.fingerprint
         suspect_state = suspects.suspect_state(fingerprint, now)
@@ -133,13 +134,18 @@
             return None
         run.summary.fingerprint = fingerprint
         if suspect_state is SuspectState.BARRED:
-            return BarredError("Servers ended under the request.")
+            return BarredError("Servers crashed while they ran the request.")
         if suspects.tried(fingerprint, now):
-            return WithheldError("Servers ended under the request, and a copy runs.")
+            return WithheldError(
+                "The request is suspected of crashes and already runs."
+            )
         return None
 
     def _limit_repeats(self, run: ActiveCall) -> None:
-        """Leave it to the caller to send again what ended two servers."""
+        """Forbid retries of a request under which two servers crashed.
+
+        The caller may still retry it.
+        """
         now = self._clock()
         suspect_state = self._dispatcher.suspects.suspect_state(
             run.call.fingerprint, now
@@ -150,7 +156,7 @@
     async def _hold(
         self, run: ActiveCall, placement: Placement | Refusal
     ) -> Placement | Refusal:
-        """Look for a place again while the call may still begin on time."""
+        """Retry placement while the call can still begin within its objective."""
         objective_s = run.demand.objective_s
         self._held.count += 1
         try:
@@ -158,7 +164,7 @@
                 now = self._clock()
                 held_s = now - run.begun_at
                 pause_s = self._held.next_poll_s(placement, objective_s, held_s)
-                if pause_s is None or pause_s >= run.left_s(now):
+                if pause_s is None or pause_s >= run.remaining_s(now):
                     break
                 await anyio.sleep(pause_s)
                 run.summary.held_s = self._clock() - run.begun_at
@@ -186,7 +192,10 @@
         return placement
 
     def _trial_servers(self, run: ActiveCall) -> set[ServerName]:
-        """Return the servers that a call stays away from, so that it is known which."""
+        """Return the servers that the call must avoid if its request is isolated.
+
+        Each of them runs an isolated request, and a crash must have a single suspect.
+        """
         suspects, now = self._dispatcher.suspects, self._clock()
         if suspects.suspect_state(run.call.fingerprint, now) < SuspectState.ISOLATED:
             return set()
@@ -195,7 +204,7 @@
         return {row.id for row in rows if crash_id(row.id, row.started_ms) in tried}
 
     async def _attempt(self, run: ActiveCall, placement: Placement) -> SendError | None:
-        """Send a call once; return why it brought no whole answer, if it did not."""
+        """Send a call once; return the error if it brought no complete answer."""
         instance = placement.registered.instance
         try:
             connection = await self._acquire(instance, run)
@@ -204,15 +213,15 @@
                 self._dispatcher.health(instance.id).unreachable(self._clock())
             self._note_failure(run, instance.id, error)
             return error
-        if run.left_s(self._clock()) <= 0:
-            # The process or its VM stood still meanwhile, and the caller has left. Sent
-            # now, the call would run for nobody, and one that books or posts would do
-            # so after its caller was told nothing.
+        if run.remaining_s(self._clock()) <= 0:
+            # The process or its VM was paused, and the caller has given up. Sending the
+            # call now would waste work, or make a booking that its caller believes was
+            # never made.
             self._pool.release(instance.id, connection)
-            late = NotSentError("The call's time ran out before it could be sent.")
-            self._note_failure(run, instance.id, late)
-            return late
-        withheld = self._withheld(run)
+            expired = NotSentError("The call's time ran out before it could be sent.")
+            self._note_failure(run, instance.id, expired)
+            return expired
+        withheld = self._withheld_error(run)
         if withheld is not None:
             self._pool.release(instance.id, connection)
             return withheld
@@ -232,8 +241,8 @@
             await self._on_failure(run, ticket, instance, error)
             return error
         finally:
-            # A connection whose answer was not read to its end is closed here, which
-            # also cancels the work at the server when the caller has left.
+            # Closes the connection if its answer was not read completely, which also
+            # cancels the work at the server when the caller has disconnected.
             self._pool.release(instance.id, connection)
             self._dispatcher.end(ticket, outcome, self._clock())
             suspects.end(fingerprint)
@@ -249,16 +258,16 @@
     ) -> None:
         now = self._clock()
         broken = isinstance(error, ConnectionBrokenError)
-        if broken and await self._ended.has_crashed(instance, now):
-            self._note_ended(run, instance, ticket.answered_s(now))
+        if broken and await self._crash_detector.has_crashed(instance, now):
+            self._note_crash(run, instance, ticket.answered_s(now))
         if isinstance(error, OtherInstanceError):
-            # The address belongs to another server: this one is gone.
+            # Another server has this address now, so the instance no longer exists.
             self._dispatcher.registry.remove(instance.id, now)
         elif isinstance(error, BrokenAnswerError):
             self._dispatcher.registry.suspect(instance.id, now)
         self._note_failure(run, instance.id, error)
 
-    def _note_ended(
+    def _note_crash(
         self, run: ActiveCall, instance: Instance, answered_s: float
     ) -> None:
         now = self._clock()
@@ -285,10 +294,10 @@
             ends=self._dispatcher.suspects.ends(run.call.fingerprint),
         )
 
-    # ends
+    # final outcomes
 
     async def _give_up(self, run: ActiveCall, error: SendError) -> None:
-        """Tell the caller the truth about a call that brought no answer."""
+        """Answer a call without a complete answer, saying whether it may have run."""
         if run.responder.begun:
             raise AnswerBroken("The answer broke off and could not be resumed.")
         if run.failed_answer is not None:
@@ -300,8 +309,8 @@
         if run.progress.ran is Ran.NOT_RUN:
             if isinstance(error, WithheldError):
                 raise Refused(RefusalReason.REQUEST_SUSPECTED, TRIAL_S)
-            raise Refused(RefusalReason.WAIT_TOO_LONG, MISSED_RETRY_S)
-        if run.left_s(self._clock()) <= 0 or isinstance(error, SilentServerError):
+            raise Refused(RefusalReason.WAIT_TOO_LONG, ALL_REFUSED_RETRY_S)
+        if run.remaining_s(self._clock()) <= 0 or isinstance(error, SilentServerError):
             raise TimedOut("The call was sent and brought no answer in time.")
         raise OutcomeUnknown("The call was sent and its answer was lost.")
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
@@ -1,9 +1,9 @@
-"""Measure how late the event loop runs what is due.
+"""Measurement of how late the event loop runs scheduled callbacks.
 
-Pattern of load: more calls than the VM's processor carries. Each turn of the loop then
-does the work of more connections and takes longer, and whatever else the router does
-waits for its turn: news of servers, its answers to the balancer, its own timeouts.
-Operators would notice it only by callers who time out, since all else looks healthy.
+If a VM gets more calls than its processor can handle, each loop iteration serves more
+connections and takes longer. Everything else in the router is delayed as well: updates
+about servers, readiness answers to the balancer and the router's own timeouts. Without
+this measurement operators would see only callers that time out.
 """
 
 from __future__ import annotations
@@ -15,37 +15,38 @@
 from attrs import define, field
 
 SAMPLE_S = 0.03
-"""Time between two samples."""
+"""Seconds between two samples."""
 
 SUSTAINED_SAMPLES = 4
-"""Samples in which a delay has to stand. VMs whose processor is shared out by tenths of
-a second stop within each of them, so that single samples are late on an idle one."""
+"""Number of consecutive samples that must be late. A VM with a processor quota
+per tenth of a second is paused in each of them, so single samples are late even on an
+idle VM."""
 
 
 @define
 class LoopLateness:
-    """Hold how late the loop ran lately."""
+    """Track the recent delays of the event loop."""
 
     _samples: deque[float] = field(factory=lambda: deque(maxlen=SUSTAINED_SAMPLES))
     worst_s: float = 0.0
-    """Latest sample since this was last set to zero."""
+    """Longest delay in seconds since this was last reset to zero."""
 
     @property
     def sustained_s(self) -> float:
-        """Return the delay that every sample of the last 0.12 s had, in seconds."""
+        """Shortest delay in seconds among the samples of the last 0.12 s."""
         if len(self._samples) < SUSTAINED_SAMPLES:
             return 0.0
         return min(self._samples)
 
-    def note(self, late_s: float) -> None:
-        """Take a sample in."""
-        self._samples.append(max(0.0, late_s))
-        self.worst_s = max(self.worst_s, late_s)
+    def note(self, delay_s: float) -> None:
+        """Add a sample, in seconds."""
+        self._samples.append(max(0.0, delay_s))
+        self.worst_s = max(self.worst_s, delay_s)
 
     async def run(
         self, clock: Callable[[], float], on_sample: Callable[[float], None]
     ) -> None:
-        """Sample until cancelled, and tell the time of each sample."""
+        """Sample until cancelled, and call `on_sample` with the time of each sample."""
         while True:
             due = clock() + SAMPLE_S
             await anyio.sleep(SAMPLE_S)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_metrics.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_metrics.py
@@ -1,18 +1,18 @@
-"""Counters and latency histograms, served as text on the metrics address."""
+"""Prometheus metrics of a router, served as text on the metrics port."""
 
 from __future__ import annotations
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
 
-ERRORS = (-0.4, -0.2, -0.1, -0.05, 0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
-"""Bounds in seconds of errors of an estimate; above zero the answer came later."""
+ESTIMATE_ERROR_BUCKETS = (-0.4, -0.2, -0.1, -0.05, 0.0, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6)
+"""Bucket bounds in seconds for estimate errors; above zero the answer came later."""
 
-SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
+LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
 
 
 class Metrics:
-    """Hold the measures of one router."""
+    """Hold the metrics of one router."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
@@ -26,28 +26,30 @@
             "fulmarroad_first_answer_seconds",
             "Time from a call's arrival to the first part of its answer",
             ["kind"],
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self._registry,
         )
         self.estimate_error = Histogram(
             "fulmarroad_first_estimate_error_seconds",
-            "Time from sending to the first part, beyond what was estimated",
+            "Time from sending to the first part of the answer, minus the estimate",
             ["kind"],
-            buckets=ERRORS,
+            buckets=ESTIMATE_ERROR_BUCKETS,
             registry=self._registry,
         )
         self.whole_answer = Histogram(
             "fulmarroad_whole_answer_seconds",
             "Time from a call's arrival to the end of its answer",
             ["kind"],
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS,
             registry=self._registry,
         )
         self.in_flight = Gauge(
             "fulmarroad_in_flight", "Calls in flight", registry=self._registry
         )
         self.peers = Gauge(
-            "fulmarroad_peers_alive", "Peers heard lately", registry=self._registry
+            "fulmarroad_peers_alive",
+            "Peers with a recent report",
+            registry=self._registry,
         )
         self.version = Gauge(
             "fulmarroad_catalog_version",
@@ -56,20 +58,20 @@
         )
         self.store_age = Gauge(
             "fulmarroad_store_age_seconds",
-            "Time since this router heard from the store itself",
+            "Time since this router last got an answer from the store",
             registry=self._registry,
         )
         self.loop_late = Gauge(
             "fulmarroad_loop_late_seconds",
-            "Delay with which the event loop runs what is due, standing for 0.12 s",
+            "Delay of the event loop that was sustained for 0.12 s",
             registry=self._registry,
         )
         self.dropped = Gauge(
             "fulmarroad_log_lines_dropped",
-            "Log lines waiting to be told as dropped",
+            "Dropped log lines that are not yet reported in the log",
             registry=self._registry,
         )
 
     def text(self) -> bytes:
-        """Return every measure as text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept for the next call."""
+"""Pool of reusable connections to backend servers."""
 
 from __future__ import annotations
 
@@ -20,121 +20,128 @@
 )
 
 CONNECT_TIMEOUT_S = 0.25
-"""Time for one connection within a region: a few milliseconds, or a lost first packet,
-which the kernel sends again only after a second. Trying anew is sooner."""
+"""Limit on opening a connection within a region, which takes a few milliseconds. The
+kernel resends a lost first packet only after a second, so a new attempt is faster."""
 
-KEEP_PART = 0.6
-"""Part of the server's own idle timeout for which a connection is kept: a request that
-crosses the server's close can't be told from one that ran."""
+IDLE_TIMEOUT_FRACTION = 0.6
+"""Fraction of the server's idle timeout for which an idle connection is kept. A request
+sent while the server closes the connection can't be told from one that ran."""
 
-DEFAULT_KEEP_S = 3.0
-"""Time a connection is kept where the server states no timeout."""
+DEFAULT_IDLE_S = 3.0
+"""Time for which an idle connection is kept if the server states no timeout."""
 
 
 @define
-class _Kept:
+class _ServerPool:
     idle: list[BackendConnection] = field(factory=list)
     open: int = 0
 
 
 class ConnectionPool:
-    """Own the connections to all backend servers."""
+    """Manage the connections to all backend servers."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._kept: dict[ServerName, _Kept] = {}
+        self._server_pools: dict[ServerName, _ServerPool] = {}
         self.opened = 0
 
     async def acquire(
         self, instance: Instance, max_connections: int, routers: int
     ) -> BackendConnection:
-        """Return an idle connection or a new one; raise `NotSentError`."""
-        kept = self._kept.setdefault(instance.id, _Kept())
-        while kept.idle:
-            connection = kept.idle.pop()
+        """Return an idle or new connection; raise `NotSentError` if there is none."""
+        pool = self._server_pools.setdefault(instance.id, _ServerPool())
+        while pool.idle:
+            connection = pool.idle.pop()
             if connection.reusable and not self._stale(connection):
                 return connection
-            self._drop(kept, connection)
+            self._drop(pool, connection)
         share = max(1, math.floor(max_connections / assumed_routers(routers)))
-        if kept.open >= share:
+        if pool.open >= share:
             raise ConnectionLimitError(
-                "Every connection that this router may hold to the server is in use."
+                "All connections that this router may open to the server are in use."
             )
-        kept.open += 1
+        pool.open += 1
         try:
             return await self._connect(instance)
         except BaseException:
-            kept.open -= 1
+            pool.open -= 1
             raise
 
     async def refuses(self, instance: Instance) -> bool:
-        """Tell whether a server's host refuses connections; keep one that it takes."""
-        kept = self._kept.setdefault(instance.id, _Kept())
-        kept.open += 1
+        """Return whether a server refuses connections.
+
+        A successful connection goes to the pool.
+        """
+        pool = self._server_pools.setdefault(instance.id, _ServerPool())
+        pool.open += 1
         try:
             connection = await self._connect(instance)
         except ConnectionRefusedByHostError:
-            kept.open -= 1
+            pool.open -= 1
             self.forget(instance.id)
             return True
         except NotSentError:
-            kept.open -= 1
+            pool.open -= 1
             return False
         except BaseException:
-            kept.open -= 1
+            pool.open -= 1
             raise
         self.release(instance.id, connection)
         return False
 
     def release(self, server: ServerName, connection: BackendConnection) -> None:
-        """Keep a connection for the next call, or close it."""
-        kept = self._kept.get(server)
-        if kept is None:
+        """Return a connection to the pool, or close it if it can't be reused."""
+        pool = self._server_pools.get(server)
+        if pool is None:
             connection.close()
         elif connection.reusable:
             connection.idle_since = self._clock()
-            kept.idle.append(connection)
+            pool.idle.append(connection)
         else:
-            self._drop(kept, connection)
+            self._drop(pool, connection)
 
     def discard(self, server: ServerName, connection: BackendConnection) -> None:
-        """Close a connection, whatever its state."""
-        kept = self._kept.get(server)
-        if kept is None:
+        """Close a connection even if it could be reused."""
+        pool = self._server_pools.get(server)
+        if pool is None:
             connection.close()
         else:
-            self._drop(kept, connection)
+            self._drop(pool, connection)
 
     def forget(self, server: ServerName) -> None:
-        """Close what is kept to a server that is gone."""
-        kept = self._kept.get(server)
-        if kept is None:
+        """Close the idle connections to a removed server."""
+        pool = self._server_pools.get(server)
+        if pool is None:
             return
-        while kept.idle:
-            self._drop(kept, kept.idle.pop())
-        if not kept.open:
-            del self._kept[server]
+        while pool.idle:
+            self._drop(pool, pool.idle.pop())
+        if not pool.open:
+            del self._server_pools[server]
 
     def prune(self) -> None:
-        """Close the idle connections that no call would get."""
-        for kept in self._kept.values():
-            for connection in list(kept.idle):
+        """Close idle connections that are stale or no longer reusable."""
+        for pool in self._server_pools.values():
+            for connection in list(pool.idle):
                 if not connection.reusable or self._stale(connection):
-                    kept.idle.remove(connection)
-                    self._drop(kept, connection)
+                    pool.idle.remove(connection)
+                    self._drop(pool, connection)
 
     def close(self) -> None:
         """Close every idle connection."""
-        for server in list(self._kept):
+        for server in list(self._server_pools):
             self.forget(server)
 
     def _stale(self, connection: BackendConnection) -> bool:
-        stated = connection.keep_alive_s
-        keep_s = DEFAULT_KEEP_S if stated is None else KEEP_PART * stated
-        return self._clock() - connection.idle_since >= keep_s
-
-    def _drop(self, kept: _Kept, connection: BackendConnection) -> None:
-        kept.open -= 1
+        idle_timeout_s = connection.keep_alive_s
+        max_idle_s = (
+            DEFAULT_IDLE_S
+            if idle_timeout_s is None
+            else IDLE_TIMEOUT_FRACTION * idle_timeout_s
+        )
+        return self._clock() - connection.idle_since >= max_idle_s
+
+    def _drop(self, pool: _ServerPool, connection: BackendConnection) -> None:
+        pool.open -= 1
         connection.close()
 
     async def _connect(self, instance: Instance) -> BackendConnection:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
@@ -1,12 +1,11 @@
-"""Decide whom a router turns away that gets more calls than its processor carries.
-
-Pattern of load: the balancer picks a router by its caller, so one large caller fills a
-small VM while its neighbours idle. All calls there share the turns of one event loop;
-with each call more, every turn takes longer, and soon none of them ends in time and the
-router itself learns too late what it must not do any more. Operators would notice
-callers without an answer at one VM whose processor is used up, and servers that get
-calls after they have left. So calls are turned away as long as the loop runs late: told
-at once, their callers come back by another router and are still served on time.
+"""Load shedding for a router that gets more calls than its processor can handle.
+
+The balancer picks the router by caller, so one large caller can overload a small VM
+while other VMs are idle. All calls share one event loop, and each further call makes
+every iteration longer. Calls then miss their deadlines, and the router receives updates
+too late. Operators would see unanswered callers at one VM whose processor is fully
+used, and calls to servers that have already left. The router therefore rejects calls
+while the loop runs late, so that callers can retry at another router in time.
 """
 
 from __future__ import annotations
@@ -19,97 +18,99 @@
 from fulmarroad_serving._lateness import LoopLateness
 
 LATE_S = 0.01
-"""Standing delay that counts as late. A call takes some ten turns to its first token,
-so that the delay adds a tenth of a second to it."""
+"""Sustained loop delay from which a growing fraction of streams is shed. A call needs
+about ten loop iterations to its first token, so this adds a tenth of a second."""
 
 FAR_TOO_LATE_S = 0.02
-"""Standing delay at which every stream is turned away."""
+"""Sustained loop delay from which every stream is shed."""
 
 SHORT_CALL_LATE_S = 0.025
-"""Standing delay that counts as late for calls with one answer: they take a small part
-of a stream's work."""
+"""Sustained loop delay from which a growing fraction of calls with a single answer is
+shed. Such a call takes a small fraction of a stream's work."""
 
 SHORT_CALL_FAR_TOO_LATE_S = 0.03
-"""Standing delay at which every call is turned away: one let in now would end after
+"""Sustained loop delay from which every call is shed: one admitted now would take
 nearly a second."""
 
-MORE = 0.1
-"""Added with each late sample to the part of calls that is turned away."""
+SHED_INCREASE = 0.1
+"""Added to the shed fraction with each late sample."""
 
-LESS = 0.03
-"""Taken from that part with each other sample. All or nothing would let calls in by
-the bunch, each of which slows down all others of its bunch."""
+SHED_DECREASE = 0.03
+"""Subtracted from the shed fraction with each other sample. Shedding all or nothing
+would admit calls in bursts that slow each other down."""
 
-SATURATED_PART = 0.5
-"""Part of streams turned away from which new callers should not come here at all."""
+SATURATED_FRACTION = 0.5
+"""Shed fraction of streams from which callers should not use this router at all."""
 
 SATURATED_S = 3.0
-"""Time for which they should not, from the last sample that said so: a balancer that
-asks each second takes two to notice, and the calls that it sent end meanwhile."""
+"""Time for which the router stays saturated after the last such sample. A balancer that
+polls each second needs two to notice, and the calls already sent end meanwhile."""
 
-LONGEST_SATURATED_S = 24.0
-"""The same for a router that was saturated again each time that callers came back: what
-it can't bear goes to VMs that can, instead of to and fro."""
+MAX_SATURATED_S = 24.0
+"""Maximum of that time for a router that is saturated again each time callers return.
+The excess load then stays on larger VMs instead of moving back and forth."""
 
-AGAIN_S = 10.0
-"""Time after callers came back within which the next saturation counts as the same."""
+REPEAT_WINDOW_S = 10.0
+"""Time after the end of a saturation within which the next one counts as a repeat."""
 
 RETRY_AFTER_S = (0.02, 0.1)
-"""Earliest and latest return: another router has room now, and the spread keeps those
-that were turned away in one turn from coming back in one."""
+"""Shortest and longest retry delay. Another router has capacity now, and the spread
+keeps callers rejected in one loop iteration from retrying at the same time."""
 
 
 @define
 class SaturationGuard:
-    """Turn calls away while the event loop runs late."""
+    """Shed calls while the event loop runs late."""
 
     lateness: LoopLateness
     _random: random.Random
-    _part: float = 0.0  # of streams that are turned away
-    _short_part: float = 0.0  # of calls with one answer
-    _now: float = 0.0
+    _stream_fraction: float = 0.0  # of streams that are shed
+    _short_call_fraction: float = 0.0  # of calls with a single answer that are shed
+    _sampled_at: float = 0.0
     _saturated_until: float = float("-inf")
-    _pause_s: float = SATURATED_S
+    _saturated_for_s: float = SATURATED_S
 
     @property
     def saturated(self) -> bool:
-        """Tell whether callers should use other routers.
+        """Whether callers should use other routers.
 
-        Those that keep their connection would go on sending here, each of them turned
-        away, until none is left for anything else.
+        Callers that keep their connections would go on sending calls here that are all
+        shed, until no connection is left for anything else.
         """
-        return self._now < self._saturated_until
+        return self._sampled_at < self._saturated_until
 
     def adapt(self, now: float) -> None:
-        """Follow the newest sample of the loop's delay."""
+        """Adjust the shed fractions to the newest sample of the loop's delay."""
         late_s = self.lateness.sustained_s
-        self._part = _moved(self._part, late=late_s >= LATE_S)
-        self._short_part = _moved(self._short_part, late=late_s >= SHORT_CALL_LATE_S)
-        self._now = now
-        if self._part >= SATURATED_PART:
+        self._stream_fraction = _adjusted(self._stream_fraction, late=late_s >= LATE_S)
+        self._short_call_fraction = _adjusted(
+            self._short_call_fraction, late=late_s >= SHORT_CALL_LATE_S
+        )
+        self._sampled_at = now
+        if self._stream_fraction >= SATURATED_FRACTION:
             self._saturate(now)
 
     def _saturate(self, now: float) -> None:
         if not self.saturated:
-            again = now - self._saturated_until < AGAIN_S
-            longer_s = min(2 * self._pause_s, LONGEST_SATURATED_S)
-            self._pause_s = longer_s if again else SATURATED_S
-        self._saturated_until = now + self._pause_s
+            repeated = now - self._saturated_until < REPEAT_WINDOW_S
+            longer_s = min(2 * self._saturated_for_s, MAX_SATURATED_S)
+            self._saturated_for_s = longer_s if repeated else SATURATED_S
+        self._saturated_until = now + self._saturated_for_s
 
     def should_shed(self, kind: CallKind) -> bool:
-        """Tell whether a call of a kind is one too many now."""
+        """Return whether to shed a call of this kind now."""
         late_s = self.lateness.sustained_s
         if kind is CallKind.STREAM:
-            limit_s, part = FAR_TOO_LATE_S, self._part
+            limit_s, fraction = FAR_TOO_LATE_S, self._stream_fraction
         else:
-            limit_s, part = SHORT_CALL_FAR_TOO_LATE_S, self._short_part
-        return late_s >= limit_s or self._random.random() < part
+            limit_s, fraction = SHORT_CALL_FAR_TOO_LATE_S, self._short_call_fraction
+        return late_s >= limit_s or self._random.random() < fraction
 
     def retry_after_s(self) -> float:
-        """Return the time after which a caller should come back."""
+        """Return the seconds after which a shed caller should retry."""
         return self._random.uniform(*RETRY_AFTER_S)
 
 
-def _moved(part: float, *, late: bool) -> float:
-    """Return a part that is turned away after one more sample."""
-    return min(1.0, max(0.0, part + (MORE if late else -LESS)))
+def _adjusted(fraction: float, *, late: bool) -> float:
+    """Return a shed fraction adjusted for one more sample."""
+    return min(1.0, max(0.0, fraction + (SHED_INCREASE if late else -SHED_DECREASE)))
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
@@ -1,4 +1,4 @@
-"""What is known of one call while it is carried."""
+"""State of a call while it is being served."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class Responder(Protocol):
-    """Carry an answer to the caller, waiting where the caller reads slowly."""
+    """Send an answer to the caller, with backpressure from a slow reader."""
 
     @property
     def begun(self) -> bool:
-        """Tell whether the head of the answer has been sent."""
+        """Whether the head of the answer has been sent."""
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and headers."""
 
     async def send(self, chunk: bytes) -> None:
         """Send a part of the body."""
 
     async def finish(self, last: bytes = b"") -> None:
-        """End the answer as whole."""
+        """Send the last bytes and mark the answer as complete."""
 
 
 @frozen
 class ServedCall:
-    """Hold a call that was read whole and may be served."""
+    """Hold a call whose body is read and whose checks passed."""
 
     head: CallHead
     method: str
@@ -45,7 +45,7 @@
     service: str
     workspace: WorkspaceName
     deadline: float
-    """When the caller or the route gives it up, by the router's clock."""
+    """Time on the router's clock at which the caller's or the route's timeout ends."""
     fingerprint: Fingerprint = b""
     has_body: bool = True
     rank: int = 0
@@ -53,25 +53,27 @@
 
 @define
 class CallSummary:
-    """Collect what a call's last log line says."""
+    """Collect the values of a call's final log line."""
 
     server: ServerName = ""
     sends: int = 0
     first_s: float = 0.0
     cached: bool | None = None
-    copies: int = 0  # servers that had its part
+    copies: int = 0  # servers that had cached its shared prompt part
     use: ShareUse = NO_USE
     wait_s: float = 0.0
-    held_s: float = 0.0  # before it found a place or was refused
-    read_tokens: int = 0  # of its prompt, as far as known not cached at the server
-    expected_s: float = 0.0  # from sending to the first part, as estimated
-    begun_s: float = 0.0  # the same, as seen
-    fingerprint: Fingerprint = b""  # where servers ended under the request
+    held_s: float = 0.0  # time until it was placed or refused
+    read_tokens: int = 0  # prompt tokens not known to be cached at the server
+    expected_s: float = (
+        0.0  # estimated time from sending to the first part of the answer
+    )
+    begun_s: float = 0.0  # the same time as measured
+    fingerprint: Fingerprint = b""  # set if servers crashed under the request
 
 
 @define
 class ActiveCall:
-    """Hold one call while it is carried."""
+    """Hold a call in progress."""
 
     call: ServedCall
     responder: Responder
@@ -82,13 +84,13 @@
     avoid: set[ServerName] = field(factory=set)
     failed_answer: tuple[AnswerHead, bytes] | None = None
 
-    def left_s(self, now: float) -> float:
-        """Return the time until its caller or its route gives it up."""
+    def remaining_s(self, now: float) -> float:
+        """Return the seconds until the call's deadline."""
         return self.call.deadline - now
 
 
 def demand_of(call: ServedCall) -> Demand:
-    """Return what placement needs to know of a call."""
+    """Return the inputs for placing a call."""
     head = call.head
     return Demand(
         head.request_id,
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_status.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_status.py
@@ -1,4 +1,4 @@
-"""Small applications: readiness for the balancer, beliefs and measures."""
+"""ASGI applications for the readiness, status and metrics pages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PageApp:
-    """Answer every GET with what a function returns."""
+    """Answer every request with the result of a function of its path."""
 
     def __init__(self, page: Callable[[str], tuple[int, bytes, bytes]]) -> None:
         self._page = page
@@ -37,7 +37,7 @@
 def readiness_page(
     gate: CallGate, saturation: SaturationGuard
 ) -> Callable[[str], tuple[int, bytes, bytes]]:
-    """Return the page by which a balancer learns whether to send callers here."""
+    """Return the page that tells a balancer whether to route callers here."""
 
     def page(path: str) -> tuple[int, bytes, bytes]:
         ready = gate.ready and not saturation.saturated
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_stream.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_stream.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into whole events with their ids."""
+"""Split a stream of server-sent events into complete events with their ids."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from fulmarroad_serving.exceptions import BrokenAnswerError
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""An event above this has no end; its server is broken."""
+"""Largest incomplete event; beyond this the server is considered faulty."""
 
 
 @frozen
 class StreamEvents:
-    """Hold whole events as they came, with the id of the last one."""
+    """Hold the bytes of complete events and the id of the last one."""
 
     raw: bytes
     last_id: str
 
 
-class WholeEvents:
-    """Hold back the part of an event that has not ended yet.
+class EventSplitter:
+    """Split a stream into complete events and buffer an incomplete one.
 
-    A server may stop in the middle of an event. Handed on, that half would be joined
-    with the next server's first event.
+    A server may fail in the middle of an event. If that part were forwarded, it would
+    be joined with the first event of the server that resumes the stream.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
     def pending(self) -> bytes:
-        """Return the bytes after the last whole event."""
-        return self._rest
+        """Bytes after the last complete event."""
+        return self._incomplete
 
     def feed(self, chunk: bytes) -> StreamEvents | None:
-        """Return the whole events that a chunk completes, if any."""
-        data = self._rest + chunk
+        """Return the events that a chunk completes, or `None`."""
+        data = self._incomplete + chunk
         end = max(_end_after(data, b"\n\n"), _end_after(data, b"\r\n\r\n"))
         if end <= 0:
             if len(data) > MAX_EVENT_BYTES:
-                raise BrokenAnswerError("An event has no end within 1 MiB.")
-            self._rest = data
+                raise BrokenAnswerError("An event is longer than 1 MiB.")
+            self._incomplete = data
             return None
-        self._rest = data[end:]
+        self._incomplete = data[end:]
         raw = data[:end]
         return StreamEvents(raw, _last_id(raw))
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
@@ -1,10 +1,10 @@
-"""Log lines as JSON to standard output, bounded, and never in a request's way.
+"""Bounded, non-blocking JSON logging to standard output.
 
-Whoever logs only appends to a queue. A task of its own formats and writes, without
-blocking: a full pipe or a burst of lines drops lines, and the next line that gets
-through tells how many. Lines on what the router believes go before those of single
-calls: behind thousands of these they would come out many seconds late, or be lost with
-the process, and nobody could tell afterwards what it went by.
+Logging only appends a record to a queue. A separate task formats and writes the records
+without blocking. If a queue is full because of a full pipe or a burst, records are
+dropped, and a later line reports how many. Records about the router's state are written
+before those of single calls. Behind thousands of call records they would be written
+many seconds late or lost with the process, and the reasons for its decisions with them.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from fulmarroad.events import Event
 
 QUEUE_LINES = 2_000
-"""Lines of calls that wait to be written, and as many others: about ten seconds at the
-highest rate."""
+"""Capacity of each queue, one for call records and one for all others: about ten
+seconds at the highest rate."""
 
 CALL_EVENTS = range(500, 600)
-"""Numbers of the events that tell of one call."""
+"""Numbers of the events about single calls."""
 
 LINES_PER_S = 200
-"""Lines written a second: each call leaves one or two, and a router wrote 81
-in its fullest second of a heavy day."""
+"""Maximum lines written per second. Each call logs one or two lines, and a router under
+heavy load logged at most 81 lines in one second."""
 
 FLUSH_S = 0.1
 STDOUT = 1
 
 
 class BoundedLog(logging.Handler):
-    """Queue records and write them from a task."""
+    """Log handler that queues records and writes them from a task."""
 
     def __init__(
         self, router: str, descriptor: int = STDOUT, rate: float = LINES_PER_S
@@ -49,62 +49,64 @@
         )
         self._descriptor = descriptor
         self._rate = rate
-        self._calls: deque[logging.LogRecord] = deque()
+        self._call_records: deque[logging.LogRecord] = deque()
         self._state_records: deque[logging.LogRecord] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
 
     @property
     def waiting(self) -> int:
-        """Return how many lines wait to be written."""
-        return len(self._calls) + len(self._state_records)
+        """Number of queued lines."""
+        return len(self._call_records) + len(self._state_records)
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a record, or count it as dropped."""
-        of_call = getattr(record, "event", 0) in CALL_EVENTS
-        records = self._calls if of_call else self._state_records
+        is_call = getattr(record, "event", 0) in CALL_EVENTS
+        records = self._call_records if is_call else self._state_records
         if len(records) >= QUEUE_LINES:
             self.dropped += 1
             return
         records.append(record)
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write queued records until cancelled."""
         os.set_blocking(self._descriptor, False)
         while True:
             await anyio.sleep(FLUSH_S)
             self.write(int(self._rate * FLUSH_S))
 
     def write(self, lines: int) -> None:
-        """Write up to a number of lines, as far as the pipe takes them."""
+        """Write up to a number of lines, as far as the pipe accepts them."""
         if self.dropped and len(self._state_records) < QUEUE_LINES:
             self._state_records.append(self._dropped_record())
             self.dropped = 0
-        while (records := self._state_records or self._calls) and not self._rest:
+        while (
+            records := self._state_records or self._call_records
+        ) and not self._unwritten:
             if lines <= 0:
                 break
             lines -= 1
             record = records.popleft()
-            self._rest = self.format(record).encode() + b"\n"
-            self._push()
-        self._push()
+            self._unwritten = self.format(record).encode() + b"\n"
+            self._write_pending()
+        self._write_pending()
 
     def drain(self) -> None:
-        """Write what is left, at the end of the process."""
+        """Write the remaining records at the end of the process."""
         self.write(QUEUE_LINES)
 
-    def _push(self) -> None:
-        if not self._rest:
+    def _write_pending(self) -> None:
+        if not self._unwritten:
             return
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads the log any more, which must not end the process.
+            # The reader of the log has closed it, which must not stop the process.
             self.dropped += 1
-            written = len(self._rest)
-        self._rest = self._rest[written:]
+            written = len(self._unwritten)
+        self._unwritten = self._unwritten[written:]
 
     def _dropped_record(self) -> logging.LogRecord:
         kind = Event.LOG_LINES_DROPPED.value
@@ -124,7 +126,7 @@
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
     logging.getLogger("fulmarroad").setLevel(logging.INFO)
-    # An answer broken off on purpose ends in an exception that the HTTP server would
-    # log with its trace; the router's own event 505 tells it better.
+    # Aborting an answer raises an exception that the HTTP server would log with a
+    # traceback. The router already logs event 505 for it.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
     return handler
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/http_client.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/http_client.py
@@ -1,4 +1,4 @@
-"""Single HTTP calls to a service of the platform, over one kept connection."""
+"""HTTP client for a platform service, over one persistent connection."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from fulmarroad_serving.exceptions import SendError, StoreError
 
 CONNECT_TIMEOUT_S = 0.4
-"""A store answers in milliseconds; the rest covers one lost first packet tried anew."""
+"""Limit on opening a connection. A store answers in milliseconds; the rest allows for a
+lost first packet and a new attempt."""
 
 
 @frozen
 class Reply:
-    """Hold an answer."""
+    """Hold the status, body and headers of an answer."""
 
     status: int
     body: bytes
-    headers: tuple[Header, ...] = ()  # names as they came
+    headers: tuple[Header, ...] = ()  # names in their original case
 
     def header(self, name: bytes) -> bytes:
-        """Return a header by its name in lower case, or nothing."""
+        """Return the value of a header by its lower-case name, or empty bytes."""
         rows = (value for key, value in self.headers if key.lower() == name)
         return next(rows, b"")
 
 
 class HttpClient:
-    """Make GET calls one at a time; raise `StoreError` where no answer comes."""
+    """Make GET requests one at a time; raise `StoreError` if one fails."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -41,8 +42,8 @@
     async def get(self, target: str, timeout_s: float) -> Reply:
         """Return the answer to a GET.
 
-        A connection whose answer did not come is closed: it would bring the answer of
-        this call to the next one, or nothing for ever.
+        A connection without a complete answer is closed. Otherwise the next request
+        could get this answer, or wait for one that never comes.
         """
         try:
             with anyio.fail_after(timeout_s):
@@ -63,7 +64,7 @@
             if connection is not None:
                 connection.close()
             connection = await self._connect()
-        whole = False
+        complete = False
         try:
             host = f"{self._host}:{self._port}"
             request = f"GET {target} HTTP/1.1\r\nhost: {host}\r\n\r\n"
@@ -72,10 +73,10 @@
             parts = []
             while (chunk := await connection.body(timeout_s)) is not None:
                 parts.append(chunk)
-            whole = True
+            complete = True
             return Reply(head.status, b"".join(parts), head.forward)
         finally:
-            if whole and connection.reusable:
+            if complete and connection.reusable:
                 self._connection = connection
             else:
                 connection.close()
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
@@ -1,4 +1,4 @@
-"""Put one serving process together: its tasks under one supervisor, start and drain."""
+"""Assembly and lifecycle of one serving process: start, supervised tasks and drain."""
 
 from __future__ import annotations
 
@@ -40,35 +40,35 @@
 logger = logging.getLogger("fulmarroad.serving")
 
 NOTICE_S = 2.5
-"""How long a draining router goes on taking calls: the balancer asks each second and
-takes a router out after two misses."""
+"""Time for which a draining router still accepts calls. The balancer polls readiness
+each second and removes a router after two failures."""
 
 GRACE_MARGIN_S = 0.4
-"""Part of the time until the kill that is kept for closing down."""
+"""Part of the grace period before the kill that is reserved for the final shutdown."""
 
 TICK_S = 0.2
 PAUSE_S = 0.5
-"""A gap of the clock beyond the tick that counts as a pause of the whole process."""
+"""Gap between ticks, beyond the tick itself, that counts as a pause of the process."""
 
 LATE_S = 0.03
-"""Standing delay of the event loop that is told: three times that of a busy router."""
+"""Sustained event loop delay that is logged: three times that of a busy router."""
 
-SETTLE_S = 2.0
-"""Time after the configuration is known at which a router without any server is ready
-all the same: it then says truthfully that there is none."""
+NO_SERVERS_WAIT_S = 2.0
+"""Time after the configuration is loaded after which a router without any server still
+becomes ready. It then correctly answers that there is no server."""
 
 
 def boot_clock() -> float:
     """Return seconds since boot, counting the time that a VM was suspended.
 
-    By the monotonic clock, which leaves that time out, a woken router would take old
-    beliefs for fresh and give servers more time than a caller has left.
+    The monotonic clock leaves that time out. A router that resumes after a suspension
+    would then treat old state as fresh and give servers more time than callers have.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ServingNode:
-    """Own the life of one process: start, serve, drain, end."""
+    """Run one process: start, serve, drain and stop."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         self._gate = CallGate()
         self._metrics = Metrics()
         self._lateness = LoopLateness()
-        self._drain_asked = anyio.Event()
+        self._drain_requested = anyio.Event()
         self._audit = AuditTrail(_log_audit)
         self._dispatcher = Dispatcher(
             settings.router,
@@ -119,7 +119,7 @@
         self._dispatcher.on_large_prompt = self._peers.trigger_load_report
         self._dispatcher.suspects.on_change = self._peers.trigger_report
         self._dispatcher.suspects.on_barred = _log_barred
-        self._router_state.on_catalog = self._take_catalog
+        self._router_state.on_catalog = self._apply_catalog
         forwarder = Forwarder(
             self._dispatcher,
             self._pool,
@@ -150,49 +150,49 @@
         emit(logger, Event.STARTED, incarnation=self._incarnation)
         async with anyio.create_task_group() as group:
             await group.start(self._watch_signals)
-            group.start_soon(self._run_tree)
+            group.start_soon(self._run_supervisor)
             group.start_soon(self._open_gate)
-            await self._drain_asked.wait()
+            await self._drain_requested.wait()
             await self._shut_down()
             group.cancel_scope.cancel()
         self._pool.close()
         emit(logger, Event.SHUTDOWN_DONE)
         self._log.drain()
 
-    async def _run_tree(self) -> None:
+    async def _run_supervisor(self) -> None:
         settings = self._settings
         status = PageApp(json_page(self.status))
         metrics = PageApp(text_page(self._metrics_text))
         ready = PageApp(readiness_page(self._gate, self._saturation))
         children = [
             ChildSpec("log", self._log.run),
-            # Peers first: the reader asks them whether it is its turn.
+            # Peers first: they decide whether the reader reads the store.
             ChildSpec("peers", self._peers.run),
             ChildSpec("reader", self._reader.run),
             ChildSpec("copies", self._peers.serve),
             ChildSpec("callers", self._callers.run),
-            ChildSpec("ready", self._page(ready, settings.readiness_port).run),
-            ChildSpec("status", self._page(status, settings.admin_port).run),
-            ChildSpec("metrics", self._page(metrics, settings.metrics_port).run),
+            ChildSpec("ready", self._page_server(ready, settings.readiness_port).run),
+            ChildSpec("status", self._page_server(status, settings.admin_port).run),
+            ChildSpec("metrics", self._page_server(metrics, settings.metrics_port).run),
             ChildSpec("tick", self._tick),
-            ChildSpec("lateness", self._watch_loop),
+            ChildSpec("lateness", self._sample_lateness),
         ]
         await Supervisor("serving", children, seed=self._incarnation).run()
 
-    def _page(self, app: PageApp, port: int) -> HttpServer:
+    def _page_server(self, app: PageApp, port: int) -> HttpServer:
         return HttpServer(app, self._settings.host, port, accepts_per_turn=1)
 
     def _reads_store(self) -> bool:
         return self._peers.reads_store()
 
-    def _take_catalog(self, catalog: Catalog) -> None:
+    def _apply_catalog(self, catalog: Catalog) -> None:
         limits = catalog.limits
         self._callers.set_timeouts(limits.idle_timeout_s, limits.header_timeout_s)
 
     async def _open_gate(self) -> None:
         while self._router_state.index is None:
             await anyio.sleep(0.02)
-        with anyio.move_on_after(SETTLE_S):
+        with anyio.move_on_after(NO_SERVERS_WAIT_S):
             while not self._dispatcher.registry.rows():
                 await anyio.sleep(0.02)
         gc.collect()
@@ -213,12 +213,12 @@
             now = self._clock()
             if now - last > TICK_S + PAUSE_S:
                 emit(logger, Event.CLOCK_PAUSE, seconds=round(now - last, 2))
-            late_since = self._tell_lateness(late_since, now)
-            self._tell_turned_away(now)
+            late_since = self._log_lateness(late_since, now)
+            self._log_refused_workspaces(now)
             last = now
 
-    def _tell_lateness(self, since: float | None, now: float) -> float | None:
-        """Log where the loop begins or ends to run late; return since when it does."""
+    def _log_lateness(self, since: float | None, now: float) -> float | None:
+        """Log when the loop starts or stops running late; return when it started."""
         late_s = self._lateness.sustained_s
         if since is None and late_s >= LATE_S:
             in_flight = self._gate.in_flight
@@ -235,7 +235,7 @@
         )
         return None
 
-    def _tell_turned_away(self, now: float) -> None:
+    def _log_refused_workspaces(self, now: float) -> None:
         shares = self._dispatcher.shares
         for row in self._app.ends.pop_refusals(now):
             share_status = shares.share_status(row.workspace, now)
@@ -252,23 +252,23 @@
                 window_s=shares.window_s,
             )
 
-    async def _watch_loop(self) -> None:
+    async def _sample_lateness(self) -> None:
         await self._lateness.run(self._clock, self._saturation.adapt)
 
     async def _watch_signals(self, *, task_status: TaskStatus[None]) -> None:
-        wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-        with anyio.open_signal_receiver(*wanted) as signals:
+        handled = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+        with anyio.open_signal_receiver(*handled) as signals:
             task_status.started()
             async for number in signals:
                 if number == signal.SIGHUP:
                     self._reload()
                 else:
-                    self._ask_drain(number.name)
+                    self._request_drain(number.name)
 
-    def _ask_drain(self, cause: str) -> None:
-        if not self._drain_asked.is_set():
+    def _request_drain(self, cause: str) -> None:
+        if not self._drain_requested.is_set():
             emit(logger, Event.DRAIN_ASKED, cause=cause)
-            self._drain_asked.set()
+            self._drain_requested.set()
 
     def _reload(self) -> None:
         try:
@@ -279,7 +279,7 @@
         emit(logger, Event.SETTINGS_RELOADED, seeds=list(self._peers.seeds))
 
     async def _shut_down(self) -> None:
-        """Become unready, go on serving for a notice, finish what was taken, leave."""
+        """Become unready, serve for the notice time, then finish the running calls."""
         begun = self._clock()
         emit(logger, Event.SHUTDOWN_BEGUN, in_flight=self._gate.in_flight)
         self._audit.record(
@@ -292,9 +292,9 @@
         self._gate.drain()
         self._peers.leaving = True
         self._peers.trigger_report()
-        most = self._settings.grace_s - GRACE_MARGIN_S
-        with anyio.move_on_after(most):
-            await anyio.sleep(min(NOTICE_S, most / 2))
+        max_drain_s = self._settings.grace_s - GRACE_MARGIN_S
+        with anyio.move_on_after(max_drain_s):
+            await anyio.sleep(min(NOTICE_S, max_drain_s / 2))
             self._gate.close()
             await self._callers.stop()
             await self._gate.wait_idle()
@@ -306,7 +306,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Return what this router believes, and how old that is."""
+        """Return this router's view of the fleet and its age."""
         now = self._clock()
         registry = self._dispatcher.registry
         return {
--- a/packages/fulmarroad-serving/tests/test_forwarding.py
+++ b/packages/fulmarroad-serving/tests/test_forwarding.py
@@ -9,9 +9,9 @@
 from serving_bed import PLAIN, answer, chunk, event, make_catalog, run, stream_head
 
 from fulmarroad_serving import EngineProfile, Service
-from fulmarroad_serving._exchange import MIN_SILENCE_S
+from fulmarroad_serving._exchange import MIN_SILENCE_TIMEOUT_S
 from fulmarroad_serving._routing import part_id
-from fulmarroad_serving._stream import WholeEvents
+from fulmarroad_serving._stream import EventSplitter
 from fulmarroad_serving.contracts import CatalogFact
 
 
@@ -392,7 +392,7 @@
 
         async def test(bed):
             async def slow(arrival, writer):
-                await anyio.sleep(MIN_SILENCE_S + 0.3)
+                await anyio.sleep(MIN_SILENCE_TIMEOUT_S + 0.3)
                 writer.write(answer(200, b"late", arrival.header("x-id")))
 
             await bed.serve("s-1", slow)
@@ -471,7 +471,7 @@
     @given(st.lists(st.integers(1, 12), min_size=1, max_size=30))
     def test_events_are_whole_however_the_network_cuts_them(self, sizes):
         data = b"".join(event(n) for n in range(9))
-        whole, passed = WholeEvents(), b""
+        whole, passed = EventSplitter(), b""
         for size in sizes:
             part, data = data[:size], data[size:]
             events = whole.feed(part)
--- a/packages/fulmarroad-serving/tests/test_node.py
+++ b/packages/fulmarroad-serving/tests/test_node.py
@@ -122,7 +122,7 @@
         def step(since, late_s, now):
             for _ in range(SUSTAINED_SAMPLES):
                 node._lateness.note(late_s)
-            return node._tell_lateness(since, now)
+            return node._log_lateness(since, now)
 
         with caplog.at_level("INFO", "fulmarroad.serving"):
             since = step(None, 0.001, 1.0)
@@ -152,7 +152,7 @@
         shares.note_got("small", 100.0, 10.0)
         node._app.ends.note("large", "above_share")
         with caplog.at_level("INFO", "fulmarroad.serving"):
-            node._tell_turned_away(10.0)
+            node._log_refused_workspaces(10.0)
         (told,) = (vars(row) for row in caplog.records)
         assert told["workspace"] == "large"
         assert told["ends"] == {"above_share": 1}
@@ -171,7 +171,7 @@
             store.answers = True
             await until_status(READY, 200)
             assert (await get(CALLERS, "/nowhere/")).status == 404
-            node._ask_drain("test")
+            node._request_drain("test")
             await until_status(READY, 503)
             reply = await get(CALLERS, "/nowhere/")
             assert reply.status == 404
@@ -193,7 +193,7 @@
                 with anyio.fail_after(3.0):
                     reply = await stream.receive()
             assert reply.startswith(b"HTTP/1.1 408 ")
-            node._ask_drain("test")
+            node._request_drain("test")
             await ended.wait()
 
         run_node(test)
@@ -208,7 +208,7 @@
             assert status["servers"]["s-1"]["service"] == "ledger"
             metrics = (await get(METRICS, "/metrics")).body
             assert b"fulmarroad_catalog_version 1.0" in metrics
-            node._ask_drain("test")
+            node._request_drain("test")
             await ended.wait()
 
         run_node(test)
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -19,9 +19,9 @@
 from fulmarroad_serving._reports import pack_report
 from fulmarroad_serving._router_state import RouterState
 from fulmarroad_serving._saturation import (
-    AGAIN_S,
     FAR_TOO_LATE_S,
     LATE_S,
+    REPEAT_WINDOW_S,
     RETRY_AFTER_S,
     SATURATED_S,
     SHORT_CALL_FAR_TOO_LATE_S,
@@ -397,7 +397,7 @@
         assert all(4.0 < later < 30.0 for later in away[1:])
         assert away[1] > 1.5 * away[0]
         assert away[2] > 1.5 * away[1]
-        now += AGAIN_S + 1.0
+        now += REPEAT_WINDOW_S + 1.0
         guard.adapt(now)
         saturate(guard, now)
         guard.lateness.note(0.0)
