--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
@@ -218,9 +218,9 @@
             # call now would waste work, or make a booking that its caller believes was
             # never made.
             self._pool.release(instance.id, connection)
-            expired = NotSentError("The call's time ran out before it could be sent.")
-            self._note_failure(run, instance.id, expired)
-            return expired
+            late = NotSentError("The call's time ran out before it could be sent.")
+            self._note_failure(run, instance.id, late)
+            return late
         withheld = self._withheld_error(run)
         if withheld is not None:
             self._pool.release(instance.id, connection)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
@@ -38,10 +38,10 @@
             return 0.0
         return min(self._samples)
 
-    def note(self, delay_s: float) -> None:
+    def note(self, late_s: float) -> None:
         """Add a sample, in seconds."""
-        self._samples.append(max(0.0, delay_s))
-        self.worst_s = max(self.worst_s, delay_s)
+        self._samples.append(max(0.0, late_s))
+        self.worst_s = max(self.worst_s, late_s)
 
     async def run(
         self, clock: Callable[[], float], on_sample: Callable[[float], None]
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
@@ -101,16 +101,16 @@
         """Return whether to shed a call of this kind now."""
         late_s = self.lateness.sustained_s
         if kind is CallKind.STREAM:
-            limit_s, fraction = FAR_TOO_LATE_S, self._stream_fraction
+            limit_s, part = FAR_TOO_LATE_S, self._stream_fraction
         else:
-            limit_s, fraction = SHORT_CALL_FAR_TOO_LATE_S, self._short_call_fraction
-        return late_s >= limit_s or self._random.random() < fraction
+            limit_s, part = SHORT_CALL_FAR_TOO_LATE_S, self._short_call_fraction
+        return late_s >= limit_s or self._random.random() < part
 
     def retry_after_s(self) -> float:
         """Return the seconds after which a shed caller should retry."""
         return self._random.uniform(*RETRY_AFTER_S)
 
 
-def _adjusted(fraction: float, *, late: bool) -> float:
+def _adjusted(part: float, *, late: bool) -> float:
     """Return a shed fraction adjusted for one more sample."""
-    return min(1.0, max(0.0, fraction + (SHED_INCREASE if late else -SHED_DECREASE)))
+    return min(1.0, max(0.0, part + (SHED_INCREASE if late else -SHED_DECREASE)))
--- a/packages/fulmarroad-serving/tests/serving_bed.py
+++ b/packages/fulmarroad-serving/tests/serving_bed.py
@@ -1,4 +1,4 @@
-"""A router's serving side in one process, with scripted backend servers on loopback."""
+"""Test harness: a router's serving side and scripted backend servers on loopback."""
 
 import asyncio
 import contextlib
@@ -43,7 +43,7 @@
 
 
 class PlainCodec:
-    """Headers as tests write them."""
+    """Codec for the plain headers that the tests use."""
 
     def read_call(self, headers):
         rows = dict(headers)
@@ -87,7 +87,7 @@
 
 @define
 class Arrival:
-    """One request as a server got it."""
+    """One request as a server received it."""
 
     server: str
     head: str
@@ -104,7 +104,7 @@
 
 @define
 class Caller:
-    """One call through the application, and what its caller saw."""
+    """What the caller of one call received."""
 
     status: int = 0
     headers: dict = field(factory=dict)
@@ -115,7 +115,7 @@
 
 
 def answer(status=200, body=b"done", request_id="", extra="", signed=True):
-    """Return the bytes of a framed answer."""
+    """Return the bytes of an answer with a content length."""
     mark = "x-signed: s\r\n" if signed else ""
     mark += f"x-id: {request_id}\r\n" if request_id else ""
     head = f"HTTP/1.1 {status} S\r\ncontent-length: {len(body)}\r\n{mark}{extra}\r\n"
@@ -123,7 +123,7 @@
 
 
 def stream_head(request_id=""):
-    """Return the head of an answer in chunks."""
+    """Return the head of a chunked answer."""
     return (
         f"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nx-signed: s\r\n"
         f"x-id: {request_id}\r\n\r\n"
@@ -166,7 +166,7 @@
 
 
 def make_catalog(version=1, **changes):
-    """Return a configuration of every kind of route."""
+    """Return a configuration with a route of every kind."""
     services = {
         "ledger": Service("ledger", max_connections=600),
         "drafting": Service("drafting", max_connections=600, engine=EngineProfile(16)),
@@ -179,7 +179,7 @@
 
 
 class Bed:
-    """Everything between a caller and scripted servers."""
+    """Serving application with its router state, connections and scripted servers."""
 
     def __init__(self, bounds=None):
         self.arrivals = []
@@ -248,7 +248,7 @@
     async def call(
         self, path="/look/1", request_id="c-1", key=KEY, caller=None, **more
     ):
-        """Make one call and return what its caller saw."""
+        """Make one call and return what its caller received."""
         caller = caller or Caller()
         headers = [(b"host", b"svc.example"), (b"x-id", request_id.encode())]
         headers += [(b"x-key", key)] if key else []
@@ -297,7 +297,7 @@
 
 
 class CrashingServers:
-    """Servers that end under a request, as a process does that crashes."""
+    """Servers that crash when they receive a given request body."""
 
     def __init__(self, bed, poison=b"poison", service="drafting"):
         self.bed = bed
@@ -327,7 +327,7 @@
 
 
 def free_port(host):
-    """Return a port that nothing on an address uses, for TCP and UDP."""
+    """Return a port that is free for TCP and UDP on a host."""
     while True:
         with (
             socket.socket(socket.AF_INET, socket.SOCK_STREAM) as stream,
@@ -341,9 +341,9 @@
 
 
 def run(test):
-    """Run a test with a bed of its own."""
+    """Run an async test with its own harness."""
 
-    async def go():
+    async def run_test():
         bed = Bed()
         try:
             with anyio.fail_after(10):
@@ -351,4 +351,4 @@
         finally:
             await bed.close()
 
-    anyio.run(go)
+    anyio.run(run_test)
--- a/packages/fulmarroad-serving/tests/slow_processor.py
+++ b/packages/fulmarroad-serving/tests/slow_processor.py
@@ -1,15 +1,15 @@
-"""An event loop on a processor that takes its time, in virtual time."""
+"""Event loop that simulates a slow processor in virtual time."""
 
 import anyio
 
 from fulmarroad.testing import VirtualTimeLoop
 
 STEP_S = 0.0002
-"""Time that the processor takes for one callback of the loop."""
+"""Virtual time in seconds that each callback of the loop takes."""
 
 
 class SlowLoop(VirtualTimeLoop):
-    """Move the clock on by a fixed time for each callback that runs."""
+    """Event loop that advances the clock by a fixed time for each callback."""
 
     def call_soon(self, callback, *args, context=None):
         def run_slowly(*arguments):
@@ -20,11 +20,11 @@
 
 
 def run_slowly(test):
-    """Run an async test on a slow processor."""
+    """Run an async test on a simulated slow processor."""
     anyio.run(test, backend_options={"loop_factory": SlowLoop})
 
 
 async def take_turns(turns):
-    """Do work that takes some turns of the loop."""
+    """Yield to the loop for a number of iterations."""
     for _ in range(turns):
         await anyio.sleep(0)
--- a/packages/fulmarroad-serving/tests/test_attempts.py
+++ b/packages/fulmarroad-serving/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What may be done with a call after each of its sends."""
+"""Rules for sending a call again after each attempt."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,8 +9,8 @@
 
 class TestAtMostOnce:
     def test_an_unknown_outcome_ends_a_call_that_may_not_be_repeated(self):
-        """A server runs a booking and its answer is lost. Sent again, the booking would
-        land twice; told as not run, the caller would send it again itself.
+        """A server makes a booking and its answer is lost. If the router sent the call
+        again, or reported it as not run so that the caller did, it would book twice.
         """
         progress = CallProgress(repeatable=False, max_attempts=3)
         progress.note_send("a")
@@ -18,7 +18,7 @@
         assert not progress.may_send
         assert progress.ran is Ran.UNKNOWN
 
-    def test_a_call_that_the_server_did_not_run_goes_on(self):
+    def test_a_call_that_the_server_did_not_run_may_be_sent_again(self):
         progress = CallProgress(repeatable=False, max_attempts=2)
         progress.note_send("a")
         progress.note_outcome(SendOutcome.NOT_RUN, "a")
@@ -31,8 +31,10 @@
         st.integers(1, 4),
         st.lists(st.sampled_from(list(SendOutcome)), max_size=8),
     )
-    def test_no_sequence_of_outcomes_breaks_a_promise(self, repeatable, most, outcomes):
-        progress = CallProgress(repeatable, most)
+    def test_no_sequence_of_outcomes_breaks_a_promise(
+        self, repeatable, max_attempts, outcomes
+    ):
+        progress = CallProgress(repeatable, max_attempts)
         ran = sent = 0
         for outcome in outcomes:
             if not progress.may_send:
@@ -43,12 +45,12 @@
             progress.note_outcome(outcome, "s")
             ran += outcome in (SendOutcome.UNKNOWN, SendOutcome.FAILED)
             assert (progress.ran is Ran.NOT_RUN) == (ran == 0)
-        assert sent <= most
+        assert sent <= max_attempts
         assert repeatable or ran <= 1
 
 
 class TestResuming:
-    def test_a_begun_answer_goes_on_only_after_a_known_event(self):
+    def test_a_begun_answer_is_resumed_only_after_a_known_event(self):
         progress = CallProgress(repeatable=True, max_attempts=2)
         progress.note_send("a")
         progress.answer_begun = True
--- a/packages/fulmarroad-serving/tests/test_bounded_log.py
+++ b/packages/fulmarroad-serving/tests/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines that never hold a request up."""
+"""Bounded logging that never blocks a request."""
 
 import json
 import logging
@@ -7,7 +7,7 @@
 from fulmarroad_serving.bounded_log import QUEUE_LINES, BoundedLog
 
 
-def make():
+def make_log():
     read, write = os.pipe()
     os.set_blocking(write, False)
     return BoundedLog("router-a", write), read, write
@@ -21,25 +21,25 @@
 
 class TestWriting:
     def test_a_line_is_one_json_object(self):
-        log, read, _ = make()
+        log, read, _ = make_log()
         log.emit(record())
         log.write(10)
         row = json.loads(os.read(read, 4096))
         assert (row["message"], row["router"]) == ("hello", "router-a")
 
-    def test_no_more_than_the_rate_is_written(self):
-        log, read, _ = make()
+    def test_no_more_lines_than_requested_are_written(self):
+        log, read, _ = make_log()
         for _ in range(50):
             log.emit(record())
         log.write(20)
         assert os.read(read, 1 << 16).count(b"\n") == 20
 
-    def test_what_the_router_believes_goes_before_lines_of_calls(self):
-        """A router carries more calls than it may write lines of. What it came to
-        believe meanwhile must not wait behind them: the process may be killed first,
-        and nobody could tell what it went by.
+    def test_state_records_are_written_before_call_records(self):
+        """A router gets more calls than its log rate allows. Records about its state
+        must not wait behind call records: if the process were killed first, the reasons
+        for its decisions would be lost.
         """
-        log, read, _ = make()
+        log, read, _ = make_log()
         for _ in range(QUEUE_LINES + 30):
             log.emit(record(event=500))
         log.emit(record(event=421))
@@ -47,12 +47,12 @@
         assert json.loads(os.read(read, 1 << 16))["event"] == 421
 
     def test_a_full_pipe_holds_nobody_up_and_cuts_no_line(self):
-        """Nobody reads the router's output for a while. A write that waited would stop
-        every call in the process.
+        """The reader of the router's output stops reading for a while. A blocking write
+        would stall every call in the process.
         """
-        log, read, _ = make()
+        log, read, _ = make_log()
         for _ in range(300):
-            # Longer than a pipe takes in one piece, so that lines are cut on the way.
+            # Longer than the pipe accepts in one write, so that writes are partial.
             log.emit(record("x" * 9_001))
         log.write(1_500)
         data = os.read(read, 1 << 20)
@@ -61,8 +61,8 @@
             data += os.read(read, 1 << 20)
         assert all(json.loads(line) for line in data.splitlines())
 
-    def test_lines_that_come_too_fast_are_counted(self):
-        log, read, _ = make()
+    def test_dropped_lines_are_counted_and_reported(self):
+        log, read, _ = make_log()
         for _ in range(QUEUE_LINES + 30):
             log.emit(record())
         log.write(10)
@@ -73,8 +73,8 @@
         row = json.loads(last)
         assert (row["event"], row["lines"]) == (107, 30)
 
-    def test_an_output_that_is_gone_ends_nothing(self):
-        log, read, _ = make()
+    def test_a_closed_output_raises_no_error(self):
+        log, read, _ = make_log()
         os.close(read)
         log.emit(record())
         log.write(10)
--- a/packages/fulmarroad-serving/tests/test_callers.py
+++ b/packages/fulmarroad-serving/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Calls checked against the configuration in force."""
+"""Checks of calls against the current configuration."""
 
 from attrs import evolve
 from serving_bed import KEY, Bed, answer, make_catalog, run
@@ -21,7 +21,7 @@
 
         run(test)
 
-    def test_an_anonymous_route_needs_none(self):
+    def test_an_anonymous_route_needs_no_key(self):
         async def test(bed):
             await bed.serve("s-1", echo)
             assert (await bed.call("/open/1", key=b"")).status == 200
@@ -41,16 +41,16 @@
 
 
 class TestRoutes:
-    def test_the_longest_prefix_takes_a_call(self):
+    def test_a_call_matches_a_route_by_host_and_path_prefix(self):
         index = Bed().beliefs.index
         assert index.route_for("svc.example", "/look/a/b").name == "plain"
         assert index.route_for("svc.example", "/lookout") is None
         assert index.route_for("svc.example", "/other/") is None
         assert index.route_for("other.example", "/look/") is None
 
-    def test_a_router_without_configuration_promises_that_nothing_ran(self):
-        """A router has just started and knows no route yet. Told as 404, callers would
-        not come back.
+    def test_a_router_without_configuration_answers_503_with_a_retry_delay(self):
+        """A router that has just started has no configuration. If it answered 404,
+        callers would not retry.
         """
 
         async def test(bed):
@@ -61,7 +61,7 @@
 
         run(test)
 
-    def test_without_a_server_the_call_is_refused_at_once(self):
+    def test_a_call_without_a_server_is_refused_with_a_retry_delay(self):
         async def test(bed):
             caller = await bed.call()
             assert caller.status == 503
@@ -69,7 +69,7 @@
 
         run(test)
 
-    def test_headers_above_the_limit_are_turned_away(self):
+    def test_headers_above_the_limit_are_rejected(self):
         async def test(bed):
             await bed.serve("s-1", echo)
             caller = await bed.call(headers={"x-large": "x" * 20_000})
@@ -80,16 +80,16 @@
 
 
 class TestPriorities:
-    def test_a_workspaces_priority_goes_before_its_routes(self):
+    def test_a_workspace_priority_overrides_the_route_priority(self):
         urgent = KeyHolder("urgent", (digest_key(b"u"),), 0)
         index = CatalogIndex(make_catalog(holders=(urgent, KeyHolder("plain"))))
         route = evolve(index.catalog.routes[0], priority=2)
         assert index.rank_of(route, urgent) == 0
         assert index.rank_of(route, KeyHolder("plain")) == 2
 
-    def test_workspaces_priorities_do_not_concern_callers_without_a_key(self):
-        """Workspaces are urgent and the anonymous routes are not. Measured by the
-        workspaces, every call of those routes would be turned away early.
+    def test_anonymous_calls_are_not_ranked_by_workspace_priorities(self):
+        """Workspaces have a high priority and anonymous routes a low one. If anonymous
+        calls were ranked against the workspaces, all of them would be rejected early.
         """
         urgent = KeyHolder("urgent", (digest_key(b"u"),), 0)
         routes = tuple(
@@ -100,7 +100,7 @@
 
 
 class TestDraining:
-    def test_a_draining_router_serves_and_asks_callers_to_leave(self):
+    def test_a_draining_router_serves_calls_and_closes_connections(self):
         async def test(bed):
             await bed.serve("s-1", echo)
             bed.gate.drain()
--- a/packages/fulmarroad-serving/tests/test_forwarding.py
+++ b/packages/fulmarroad-serving/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Calls carried to scripted backend servers over real connections."""
+"""Calls forwarded to scripted backend servers over real connections."""
 
 import time
 
@@ -15,8 +15,8 @@
 from fulmarroad_serving.contracts import CatalogFact
 
 
-def says(*parts):
-    """Return a script that writes bytes for each request."""
+def respond_with(*parts):
+    """Return a script that writes the given bytes for each request."""
 
     async def script(arrival, writer):
         writer.write(b"".join(parts))
@@ -31,18 +31,18 @@
     return script
 
 
-async def hang_up(arrival, writer):
+async def close_connection(arrival, writer):
     return False
 
 
-async def say_nothing(arrival, writer):
+async def never_answer(arrival, writer):
     await anyio.sleep(5)
 
 
 class TestSources:
-    def test_a_server_is_told_which_other_engine_was_sent_the_part(self):
-        """An engine drops a part that it kept. The part lies at another engine too, and
-        without its name in the call it would be read once more.
+    def test_a_call_names_another_engine_that_has_the_prompt_part(self):
+        """An engine evicts a cached prompt part that another engine still has. Without
+        the other engine's name in the call, the part would be computed again.
         """
 
         async def test(bed):
@@ -67,7 +67,7 @@
 
 
 class TestWholeAnswers:
-    def test_an_answer_goes_on_unchanged(self):
+    def test_an_answer_is_forwarded_unchanged(self):
         async def test(bed):
             await bed.serve("s-1", echo(body=b"the answer"))
             caller = await bed.call(query=b"a=%20b")
@@ -81,7 +81,7 @@
 
         run(test)
 
-    def test_connections_are_kept(self):
+    def test_connections_are_reused(self):
         async def test(bed):
             await bed.serve("s-1", echo())
             for n in range(3):
@@ -91,9 +91,8 @@
         run(test)
 
     def test_a_late_second_answer_goes_to_nobody(self):
-        """A faulty server answers one call twice. The second answer comes after the
-        connection was used again, where the next call's answer is due, and its caller
-        would get somebody else's letter.
+        """A faulty server answers one call twice. If the second answer arrives after
+        the connection is reused, the next caller would get another caller's data.
         """
 
         async def test(bed):
@@ -117,7 +116,7 @@
 
     def test_bytes_behind_an_answer_spoil_the_connection(self):
         async def test(bed):
-            await bed.serve("s-1", says(answer(), b"left over"))
+            await bed.serve("s-1", respond_with(answer(), b"left over"))
             assert (await bed.call()).body == b"done"
             await bed.call(request_id="c-2")
             assert bed.arrivals[0].connection != bed.arrivals[1].connection
@@ -125,18 +124,18 @@
         run(test)
 
     def test_a_success_without_signature_is_no_success(self):
-        """A machine that took over an address answers calls that aren't for it. Handed
-        on, its page would pass for the record of a booking.
+        """A VM that took over an address answers calls meant for another server. If
+        forwarded, its page would look like the confirmation of a booking.
         """
 
         async def test(bed):
-            await bed.serve("s-1", says(answer(signed=False)))
+            await bed.serve("s-1", respond_with(answer(signed=False)))
             caller = await bed.call("/post/1", method="POST", body=b"x")
             assert caller.status == 502
 
         run(test)
 
-    def test_an_answer_in_an_encoding_nobody_asked_for_is_no_success(self):
+    def test_an_answer_with_an_unrequested_encoding_is_rejected(self):
         async def test(bed):
             await bed.serve("s-1", echo(extra="content-encoding: gzip\r\n"))
             caller = await bed.call("/post/1", method="POST", body=b"x")
@@ -144,7 +143,7 @@
 
         run(test)
 
-    def test_an_answer_cut_short_is_no_answer(self):
+    def test_a_truncated_answer_is_rejected(self):
         async def test(bed):
             cut = answer(body=b"0123456789")[:-4]
 
@@ -171,8 +170,8 @@
         run(test)
 
     def test_an_answer_before_the_body_was_read_leaves_the_connection(self):
-        """A server turns a long request away before it has read it, and reads on later.
-        The next request on that connection would be taken for the rest of the first.
+        """A server rejects a long request before it has read all of it and reads the
+        rest later. It would read the next request on that connection as this rest.
         """
 
         async def test(bed):
@@ -199,14 +198,14 @@
 
 
 class TestAtMostOnce:
-    def test_a_lost_answer_is_not_asked_for_again(self):
-        """A server books a room and its answer is lost. Sent to another server, the
-        booking would land twice.
+    def test_a_call_with_a_lost_answer_is_not_sent_again(self):
+        """A server books a room and its answer is lost. If the call were sent to
+        another server, the room would be booked twice.
         """
 
         async def test(bed):
-            await bed.serve("s-1", hang_up)
-            await bed.serve("s-2", hang_up)
+            await bed.serve("s-1", close_connection)
+            await bed.serve("s-2", close_connection)
             caller = await bed.call("/post/1", method="POST", body=b"x")
             assert caller.status == 502
             assert len(bed.arrivals) == 1
@@ -214,8 +213,8 @@
         run(test)
 
     def test_a_refusal_that_does_not_say_not_run_is_not_told_as_one(self):
-        """A server answers 503 after it has begun. Told as 503 to the caller, who takes
-        that as "not run", the call would be sent again and run twice.
+        """A server answers 503 after it has started the call. If the caller got the
+        503, which means "not run", it would send the call again and run it twice.
         """
 
         async def test(bed):
@@ -225,7 +224,7 @@
 
         run(test)
 
-    def test_a_call_that_was_not_run_goes_to_another_server(self):
+    def test_a_call_that_was_not_run_is_sent_to_another_server(self):
         async def test(bed):
             shed = echo(503, extra="x-not-run: 1\r\n")
             await bed.serve("s-1", shed)
@@ -245,7 +244,7 @@
 
         run(test)
 
-    def test_a_server_that_cannot_be_reached_was_sent_nothing(self):
+    def test_a_call_to_an_unreachable_server_is_sent_elsewhere(self):
         async def test(bed):
             await bed.serve("s-1", echo())
             bed._servers.pop().close()
@@ -261,8 +260,9 @@
 
 class TestConnections:
     def test_a_router_at_its_own_bound_does_not_take_the_server_for_lost(self):
-        """A burst uses up every connection that the router may hold. If that counted as
-        a server out of reach, a healthy server would get nothing for seconds.
+        """A burst uses all connections that the router may open to a server. If that
+        counted as an unreachable server, a healthy server would get no calls for
+        seconds.
         """
 
         async def test(bed):
@@ -288,9 +288,9 @@
 
 class TestPauses:
     def test_a_call_whose_time_ran_out_in_a_pause_is_not_sent(self):
-        """A VM stands still for seconds just after a call has come in. Its caller has
-        left when the VM wakes; sent all the same, the call would cost a server work for
-        nobody, and a booking would be made that its caller believes was not.
+        """A VM is paused for seconds just after a call arrives, and the caller gives up
+        meanwhile. If the call were still sent, a server would work for nobody or make a
+        booking that the caller believes was never made.
         """
 
         async def test(bed):
@@ -312,8 +312,8 @@
         run(test)
 
     def test_a_slow_router_gives_servers_only_the_time_that_is_left(self):
-        """A router runs several times slower than usual. Told the caller's whole time,
-        servers would work on after their callers have gone.
+        """A router runs several times slower than usual. If servers were given the
+        caller's full timeout, they would work on after the caller has given up.
         """
 
         async def test(bed):
@@ -334,7 +334,7 @@
 
 
 class TestRepeating:
-    def test_a_failed_call_is_repeated_at_another_server(self):
+    def test_a_failed_call_is_retried_at_another_server(self):
         async def test(bed):
             seen = []
 
@@ -351,7 +351,7 @@
 
         run(test)
 
-    def test_no_more_servers_than_the_route_allows(self):
+    def test_sends_stay_within_the_attempts_of_the_route(self):
         async def test(bed):
             for name in ("s-1", "s-2", "s-3"):
                 await bed.serve(name, echo(500, b"failed"))
@@ -361,13 +361,13 @@
 
         run(test)
 
-    def test_a_silent_server_is_left_in_time_for_another(self):
-        """A server takes calls and never answers, with a good health check. A caller
-        who may be served elsewhere would wait for the whole deadline.
+    def test_a_call_leaves_a_silent_server_in_time_for_a_retry(self):
+        """A server accepts calls and passes health checks but never answers. A caller
+        who could be served elsewhere would wait until the deadline.
         """
 
         async def test(bed):
-            await bed.serve("s-1", say_nothing)
+            await bed.serve("s-1", never_answer)
             bed.apply_fact(
                 CatalogFact(make_catalog(2, routes=(evolve(PLAIN, timeout_s=3.0),)))
             )
@@ -385,9 +385,9 @@
         run(test)
 
     def test_a_slow_server_is_waited_for_where_no_repeat_is_left(self):
-        """Engines are so far behind that first answers take over a second, and the
-        retry budget is used up. Given up after that second, callers with six seconds
-        left got a timeout in place of an answer that was on its way.
+        """Engines are so overloaded that first answers take over a second, and the
+        retry budget is used up. When the router gave up after that second, callers with
+        six seconds left got a timeout instead of an answer that was about to arrive.
         """
 
         async def test(bed):
@@ -408,9 +408,9 @@
 
         run(test)
 
-    def test_an_outage_spends_the_budget_and_no_more(self):
-        """Every server of a service fails. Repeats of every call would double the load
-        of what is left.
+    def test_retries_in_an_outage_stay_within_the_budget(self):
+        """Every server of a service fails. Retrying every call would double the load on
+        the remaining capacity.
         """
 
         async def test(bed):
@@ -425,7 +425,7 @@
 
 
 class TestStreams:
-    def test_events_go_on_as_they_come(self):
+    def test_events_are_forwarded(self):
         async def test(bed):
             async def script(arrival, writer):
                 writer.write(stream_head(arrival.header("x-id")))
@@ -441,8 +441,8 @@
         run(test)
 
     def test_a_stream_whose_server_dies_goes_on_after_its_last_event(self):
-        """A server dies in the middle of an event. The half event must not be joined
-        with what the next server sends, and no event may be missing or come twice.
+        """A server fails in the middle of an event. The incomplete event must not be
+        joined with the next server's data, and no event may be lost or duplicated.
         """
 
         async def test(bed):
@@ -471,16 +471,16 @@
     @given(st.lists(st.integers(1, 12), min_size=1, max_size=30))
     def test_events_are_whole_however_the_network_cuts_them(self, sizes):
         data = b"".join(event(n) for n in range(9))
-        whole, passed = EventSplitter(), b""
+        splitter, passed = EventSplitter(), b""
         for size in sizes:
             part, data = data[:size], data[size:]
-            events = whole.feed(part)
+            events = splitter.feed(part)
             if events is not None:
                 assert events.raw.endswith(b"\n\n")
                 passed += events.raw
                 assert passed.endswith(event(int(events.last_id)))
         expected = b"".join(event(n) for n in range(9))
-        assert passed + whole.pending + data == expected
+        assert passed + splitter.pending + data == expected
 
     def test_a_stream_that_cannot_be_resumed_does_not_look_whole(self):
         async def test(bed):
@@ -498,8 +498,8 @@
         run(test)
 
     def test_a_caller_who_leaves_ends_the_work(self):
-        """A caller closes its connection while its letter is written. Without a word to
-        the server, the engine would go on for nobody.
+        """A caller disconnects while its answer is generated. If the server connection
+        stayed open, the engine would continue for nobody.
         """
 
         async def test(bed):
@@ -531,11 +531,11 @@
 
 
 class TestTimes:
-    def test_a_call_past_its_routes_time_is_answered(self):
+    def test_a_call_past_the_route_timeout_is_answered_with_504(self):
         async def test(bed):
             route = evolve(PLAIN, timeout_s=0.3, max_attempts=1)
             bed.apply_fact(CatalogFact(make_catalog(2, routes=(route,))))
-            await bed.serve("s-1", say_nothing)
+            await bed.serve("s-1", never_answer)
             started = anyio.current_time()
             caller = await bed.call(headers={"x-deadline-ms": "3000"})
             assert caller.status == 504
--- a/packages/fulmarroad-serving/tests/test_lateness.py
+++ b/packages/fulmarroad-serving/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""How late the event loop runs, measured in virtual time."""
+"""Measurement of event loop delays, in virtual time."""
 
 import anyio
 
@@ -18,10 +18,10 @@
         assert lateness.sustained_s < 1e-6
         assert lateness.worst_s < 1e-6
 
-    def test_a_single_stop_does_not_count_as_standing(self):
-        """The processor is taken away for the rest of each tenth of a second, as on
-        shared VMs. A router that took this for overload would turn callers away while
-        half of its processor idles.
+    def test_alternating_late_samples_are_not_a_sustained_delay(self):
+        """A VM with a processor quota is paused for the rest of each tenth of a second.
+        A router that treated this as overload would reject calls while half of its
+        processor is idle.
         """
         lateness = LoopLateness()
         for _ in range(20):
@@ -30,7 +30,7 @@
         assert lateness.sustained_s == 0.0
         assert lateness.worst_s == 0.06
 
-    def test_a_delay_that_stays_counts_by_its_least_part(self):
+    def test_a_sustained_delay_is_the_shortest_of_its_samples(self):
         lateness = LoopLateness()
         for number in range(SUSTAINED_SAMPLES):
             assert lateness.sustained_s == 0.0
--- a/packages/fulmarroad-serving/tests/test_node.py
+++ b/packages/fulmarroad-serving/tests/test_node.py
@@ -1,4 +1,4 @@
-"""One serving process in this one: start, serve, drain."""
+"""Lifecycle of a serving node run inside the test process."""
 
 import json
 
@@ -22,8 +22,8 @@
 CALLERS, READY, STATUS, PEERS, METRICS = (free_port(HOST) for _ in range(5))
 
 
-class OneConfiguration:
-    """A store that has one configuration and one server."""
+class SingleServerStore:
+    """A store with one configuration and one server."""
 
     def __init__(self, port):
         self.port = port
@@ -48,7 +48,7 @@
 
 
 class KeylessCodec(PlainCodec):
-    """Name every call, since the client sends no headers of its own."""
+    """Add a request id to every call, since the client sends none."""
 
     def read_call(self, headers):
         return super().read_call([*headers, (b"x-id", b"c-1")])
@@ -78,7 +78,7 @@
         client.close()
 
 
-async def until_status(port, status):
+async def wait_for_status(port, status):
     while True:
         try:
             if (await get(port)).status == status:
@@ -89,8 +89,8 @@
 
 
 def run_node(test):
-    async def go():
-        store = OneConfiguration(1)
+    async def run_test():
+        store = SingleServerStore(1)
         log = BoundedLog("router-a", 1)
         node = ServingNode(settings(), KeylessCodec(), store, log, lambda: (HOST,))
         log.run = anyio.sleep_forever
@@ -103,19 +103,19 @@
         with anyio.fail_after(15):
             async with anyio.create_task_group() as group:
                 group.start_soon(run)
-                await until_status(READY, 503)
+                await wait_for_status(READY, 503)
                 await test(node, store, ended)
                 group.cancel_scope.cancel()
 
-    anyio.run(go)
+    anyio.run(run_test)
 
 
-class TestLateness:
-    def test_a_late_loop_is_told_once_and_so_is_its_end(self, caplog):
-        """A VM gets more calls than its processor carries. Without a word on it, its
-        callers' trouble would look like that of any other router.
+class TestLatenessLog:
+    def test_a_late_loop_is_logged_once_when_it_begins_and_ends(self, caplog):
+        """A VM gets more calls than its processor can handle. Without a log line,
+        operators could not tell which router is overloaded.
         """
-        store = OneConfiguration(1)
+        store = SingleServerStore(1)
         log = BoundedLog("router-a", 1)
         node = ServingNode(settings(), KeylessCodec(), store, log, lambda: (HOST,))
 
@@ -131,18 +131,18 @@
             since = step(since, 0.3, 3.0)
             assert since == 2.0
             assert step(since, 0.001, 5.5) is None
-        told = [(row.name_of_event, vars(row)) for row in caplog.records]
-        assert [name for name, _ in told] == ["loop_late", "loop_on_time"]
-        assert told[0][1]["late_s"] == 0.2
-        assert (told[1][1]["seconds"], told[1][1]["worst_s"]) == (3.5, 0.3)
+        logged = [(row.name_of_event, vars(row)) for row in caplog.records]
+        assert [name for name, _ in logged] == ["loop_late", "loop_on_time"]
+        assert logged[0][1]["late_s"] == 0.2
+        assert (logged[1][1]["seconds"], logged[1][1]["worst_s"]) == (3.5, 0.3)
 
 
-class TestTurnedAway:
-    def test_whom_it_turns_away_is_told_with_the_share(self, caplog):
-        """A workspace gets far less than others. Without a word on its share and on
-        what the fleet handed out, nobody could tell chance from the router's limit.
+class TestRefusedWorkspacesLog:
+    def test_refusals_of_a_workspace_are_logged_with_its_share(self, caplog):
+        """A workspace gets far less than others. Without its share and the granted
+        amounts in the log, operators could not tell chance from the router's limit.
         """
-        store = OneConfiguration(1)
+        store = SingleServerStore(1)
         log = BoundedLog("router-a", 1)
         node = ServingNode(settings(), KeylessCodec(), store, log, lambda: (HOST,))
         shares = node._dispatcher.shares
@@ -153,26 +153,27 @@
         node._app.ends.note("large", "above_share")
         with caplog.at_level("INFO", "fulmarroad.serving"):
             node._log_refused_workspaces(10.0)
-        (told,) = (vars(row) for row in caplog.records)
-        assert told["workspace"] == "large"
-        assert told["ends"] == {"above_share": 1}
-        assert (told["asked"], told["got"], told["level"]) == (900, 200, 200)
+        (logged,) = (vars(row) for row in caplog.records)
+        assert logged["workspace"] == "large"
+        assert logged["ends"] == {"above_share": 1}
+        assert (logged["asked"], logged["got"], logged["level"]) == (900, 200, 200)
 
 
 class TestLife:
     def test_ready_once_the_configuration_is_known_and_unready_as_it_drains(self):
-        """A process starts while the store is away, and is later told to stop. Ready
-        too early it would refuse callers; ended at once it would lose theirs.
+        """A process starts while the store is unreachable and is later stopped. If it
+        were ready too early, it would refuse calls; if it stopped immediately, it would
+        lose running calls.
         """
 
         async def test(node, store, ended):
             await anyio.sleep(0.3)
             assert (await get(READY)).status == 503
             store.answers = True
-            await until_status(READY, 200)
+            await wait_for_status(READY, 200)
             assert (await get(CALLERS, "/nowhere/")).status == 404
             node._request_drain("test")
-            await until_status(READY, 503)
+            await wait_for_status(READY, 503)
             reply = await get(CALLERS, "/nowhere/")
             assert reply.status == 404
             with anyio.fail_after(4.0):
@@ -180,14 +181,14 @@
 
         run_node(test)
 
-    def test_headers_that_do_not_end_are_given_up_in_the_configured_time(self):
-        """A caller is lost in the middle of its headers. Without the limit in force its
-        connection stays open until the router has no descriptor left for others.
+    def test_incomplete_headers_are_rejected_after_the_configured_timeout(self):
+        """A caller fails while it sends its headers. Without the configured timeout its
+        connection would stay open, and the router would run out of file descriptors.
         """
 
         async def test(node, store, ended):
             store.answers = True
-            await until_status(READY, 200)
+            await wait_for_status(READY, 200)
             async with await anyio.connect_tcp(HOST, CALLERS) as stream:
                 await stream.send(b"GET /nowhere/ HTTP/1.1\r\nhost: svc")
                 with anyio.fail_after(3.0):
@@ -198,10 +199,10 @@
 
         run_node(test)
 
-    def test_what_it_believes_is_shown(self):
+    def test_the_status_page_shows_configuration_and_servers(self):
         async def test(node, store, ended):
             store.answers = True
-            await until_status(READY, 200)
+            await wait_for_status(READY, 200)
             status = json.loads((await get(STATUS)).body)
             assert status["version"] == 1
             assert status["reads_store"]
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -1,4 +1,4 @@
-"""A router with more calls than its processor carries, in virtual time."""
+"""Behaviour of an overloaded router, in virtual time."""
 
 import random
 import socket
@@ -31,41 +31,41 @@
 from fulmarroad_serving.contracts import CatalogFact, InstanceFact
 
 PULL_TURNS = 10
-"""Turns of the loop in which a copy is fetched from a peer: to connect, to ask, to read
+"""Loop iterations needed to fetch a copy from a peer: connect, send the request, read
 the answer and its end."""
 
 SHORTEST_DRAIN_S = 2.0
-"""Shortest time after its word within which a leaving server still takes calls."""
+"""Shortest time for which a server still accepts calls after it announces its drain."""
 
 
 class ServerEntries:
-    """A store whose items are servers; their data says whether they leave."""
+    """A store of servers; the data of an item says whether its server is draining."""
 
     def decode(self, item):
         name = item.key.partition("/")[2]
-        leaves = item.data == b"leaves"
-        row = Instance(name, "drafting", "127.0.0.1", 9001, "fes", 8, draining=leaves)
+        draining = item.data == b"leaves"
+        row = Instance(name, "drafting", "127.0.0.1", 9001, "fes", 8, draining=draining)
         return InstanceFact(row)
 
 
 @define
 class Node:
-    """Hold one router without its sockets."""
+    """One router without sockets."""
 
     dispatcher: Dispatcher
     beliefs: RouterState
     peers: Peers
 
     def packet(self):
-        """Return the router's next report as it goes out."""
+        """Return the router's next encoded report."""
         now = anyio.current_time()
         self.peers._sequence += 1
         return pack_report(
             self.peers._view.complete_report(self.peers._report(now), now)
         )
 
-    def leaving(self, server):
-        """Tell whether the router knows that a server leaves."""
+    def knows_draining(self, server):
+        """Return whether the router knows that a server is draining."""
         row = self.dispatcher.registry.get(server)
         return row is not None and row.instance.draining
 
@@ -96,12 +96,11 @@
 
 class TestNews:
     def test_a_router_at_its_limit_learns_in_time_that_a_server_leaves(self):
-        """One caller sends more through a small VM than its processor carries, so that
-        each turn of the router's loop takes a tenth of a second. A peer tells it of a
-        change; fetching that takes ten turns and is given up after 0.6 s, over and
-        over. Callers are still sent to a server that has said seconds ago that it
-        leaves, and are cut off when it is gone. At such a router five pulls in a row
-        were given up and its copy stood still for 4.8 s, while its neighbours' did not.
+        """A small VM is so overloaded by one caller that each loop iteration takes a
+        tenth of a second. A peer reports a change, but fetching it takes ten iterations
+        and times out after 0.6 s each time. The router then keeps sending calls to a
+        draining server, and they are cut off when it stops. One such router timed out
+        five times in a row, and its copy was not updated for 4.8 s.
         """
 
         async def test():
@@ -115,7 +114,7 @@
                 await take_turns(PULL_TURNS)
                 return reader.beliefs.replica.since(small.beliefs.replica.at)
 
-            async def hear():
+            async def receive_reports():
                 while True:
                     small.peers._take(reader.packet())
                     await anyio.sleep(REPORT_S)
@@ -125,24 +124,24 @@
                 for _ in range(int(0.1 / STEP_S)):
                     group.start_soon(keep_busy)
                 group.start_soon(small.peers._replica_sync.pull_changes)
-                group.start_soon(hear)
+                group.start_soon(receive_reports)
                 await anyio.sleep(1.0)
                 change = [ReplicaItem("servers/s", 5, b"leaves")]
                 reader.beliefs.apply_changes(change, 5, 60.0, "store")
-                told_at = anyio.current_time()
+                reported_at = anyio.current_time()
                 with anyio.move_on_after(2 * SHORTEST_DRAIN_S):
-                    while not small.leaving("s"):
+                    while not small.knows_draining("s"):
                         await anyio.sleep(0)
-                took_s = anyio.current_time() - told_at
+                took_s = anyio.current_time() - reported_at
                 group.cancel_scope.cancel()
             assert took_s < SHORTEST_DRAIN_S
 
         run_slowly(test)
 
     def test_packets_that_wait_are_read_in_one_turn(self):
-        """Reports come to a router whose loop takes a tenth of a second for a turn.
-        Read one a turn they pile up, and the router goes by loads, counts and news that
-        are as old as the pile.
+        """Each loop iteration of a router takes a tenth of a second. If it read one
+        report per iteration, reports would queue up, and it would use loads and counts
+        as old as the queue.
         """
         packets = 40
 
@@ -177,25 +176,25 @@
 
 
 CALL_TURNS = 25
-"""Turns of the loop that a call takes: read, placed, sent, events handed on."""
+"""Loop iterations that a call takes: read, place, send, forward its events."""
 
 CALL_S = CALL_TURNS * STEP_S
 
 PATIENCE_S = 0.5
-"""Time within which a caller has to know that it was turned away: it may still be
-served by another router."""
+"""Time within which a caller must be rejected, so that another router can still serve
+it."""
 
 
 @define
 class Caller:
-    """Hold what one caller saw."""
+    """Status and latency of the answer to one call."""
 
     status: int = 0
     took_s: float = float("inf")
 
 
 class BusyForwarder:
-    """Serve each call by work of this router alone."""
+    """Serve each call within the router, without a backend server."""
 
     def admit(self, call, summary):
         pass
@@ -246,18 +245,18 @@
     await app(scope, receive, send)
 
 
-class TestCalls:
+class TestOverload:
     SECONDS = 8.0
 
-    def press(self, load, kind=CallKind.STREAM):
-        """Send a multiple of what the processor carries; return what callers saw."""
+    def run_load(self, load, kind=CallKind.STREAM):
+        """Send a multiple of the processor's capacity and return the callers."""
         callers = []
 
         async def test():
             async with anyio.create_task_group() as group:
                 app = make_app(group, kind)
                 while anyio.current_time() < self.SECONDS:
-                    # Callers come by their own clock, however late this loop runs.
+                    # Callers arrive at a fixed rate, even if the loop runs late.
                     while len(callers) * CALL_S < load * anyio.current_time():
                         callers.append(Caller())
                         group.start_soon(call, app, callers[-1])
@@ -269,40 +268,39 @@
         return callers
 
     def test_callers_are_soon_told_to_go_elsewhere(self):
-        """The balancer hands all connections of one large caller to a small VM. Each
-        call there takes its part of every turn of the loop, so that all of them wait
-        for seconds, and the workspace whose calls come there gets far less than others
-        while neighbouring VMs idle. Nothing bounded what the router took on: its delay
-        was not measured. In the record it stood at its processor's limit for as long as
-        that workspace lacked its share.
+        """The balancer sends all connections of one large caller to a small VM. Each
+        call lengthens every loop iteration, so all of them wait for seconds, and the
+        workspace gets far less than others while other VMs are idle. This happened when
+        the router did not measure its loop delay and accepted every call: it was at its
+        processor's limit for as long as the workspace got less than its share.
         """
-        callers = self.press(2.5)
+        callers = self.run_load(2.5)
         refused = [row for row in callers if row.status == 503]
         assert all(row.took_s < PATIENCE_S for row in refused)
         late = [row for row in callers if row.took_s >= 2 * PATIENCE_S]
         assert len(late) <= 0.01 * len(callers)
 
-    def test_callers_who_want_one_answer_are_soon_told_to_go_elsewhere(self):
-        """The same large caller asks for calls with one answer. They are turned away
-        later than streams and all at once, so that those let in between slow each
-        other down: half of the ones that are served take more than a second.
+    def test_calls_with_a_single_answer_are_rejected_quickly_under_overload(self):
+        """The same large caller makes calls with a single answer. If these were shed
+        later than streams and all at once, the calls admitted in between would slow
+        each other down, and half of the served ones would take more than a second.
         """
-        callers = self.press(2.5, CallKind.IDEMPOTENT)
+        callers = self.run_load(2.5, CallKind.IDEMPOTENT)
         refused = [row for row in callers if row.status == 503]
         assert all(row.took_s < PATIENCE_S for row in refused)
         late = [row for row in callers if row.took_s >= 2 * PATIENCE_S]
         assert len(late) <= 0.01 * len(callers)
 
     def test_a_router_at_its_limit_serves_what_it_carries(self):
-        """Turning callers away takes work as well. A router that turned away all of
-        them for as long as more come than it carries would serve nobody.
+        """Rejecting calls takes processor time too. A router that rejected all calls
+        while it is overloaded would serve nobody.
         """
-        callers = self.press(2.5)
+        callers = self.run_load(2.5)
         served = [row for row in callers if row.status == 200]
         assert len(served) >= 0.5 * self.SECONDS / CALL_S
 
-    def test_nobody_is_turned_away_below_the_limit(self):
-        callers = self.press(0.5)
+    def test_no_call_is_rejected_below_the_limit(self):
+        callers = self.run_load(0.5)
         assert {row.status for row in callers} == {200}
 
 
@@ -314,21 +312,21 @@
 
 
 class TestGuard:
-    def test_an_idle_router_turns_nobody_away(self):
+    def test_an_idle_router_sheds_no_calls(self):
         guard = guard_at(0.0)
         guard.adapt(0.0)
         assert not any(guard.should_shed(kind) for kind in CallKind)
 
-    def test_more_streams_are_turned_away_for_as_long_as_the_loop_is_late(self):
+    def test_the_shed_fraction_grows_while_the_loop_is_late(self):
         guard = guard_at(1.5 * LATE_S)
         parts = []
         for _ in range(9):
             guard.adapt(0.0)
-            away = sum(guard.should_shed(CallKind.STREAM) for _ in range(500))
-            parts.append(away / 500)
+            shed = sum(guard.should_shed(CallKind.STREAM) for _ in range(500))
+            parts.append(shed / 500)
         assert parts[0] < 0.2 < 0.8 < parts[-1]
 
-    def test_streams_are_let_in_again_once_the_loop_is_on_time(self):
+    def test_streams_are_admitted_again_once_the_loop_is_on_time(self):
         guard = guard_at(1.5 * LATE_S)
         for _ in range(50):
             guard.adapt(0.0)
@@ -338,16 +336,16 @@
             guard.adapt(0.0)
         assert not guard.should_shed(CallKind.STREAM)
 
-    def test_calls_with_one_answer_are_turned_away_last(self):
-        """A booking is one answer, a draft dozens of events. Turned away alike, many
-        bookings would be lost to win the time of a few drafts.
+    def test_calls_with_a_single_answer_are_shed_last(self):
+        """A booking has a single answer, a draft dozens of events. If both were shed
+        alike, many bookings would be lost to save the work of a few drafts.
         """
         guard = guard_at(FAR_TOO_LATE_S)
         assert guard.should_shed(CallKind.STREAM)
         assert not guard.should_shed(CallKind.AT_MOST_ONCE)
         assert guard_at(SHORT_CALL_FAR_TOO_LATE_S).should_shed(CallKind.AT_MOST_ONCE)
 
-    def test_callers_come_back_at_once_but_not_together(self):
+    def test_retry_delays_are_short_and_spread(self):
         guard = guard_at(FAR_TOO_LATE_S)
         pauses = [guard.retry_after_s() for _ in range(50)]
         assert RETRY_AFTER_S[0] <= min(pauses) < max(pauses) <= RETRY_AFTER_S[1]
@@ -362,12 +360,12 @@
 
 
 class TestSaturated:
-    """One large caller opens a connection for each call to a small VM and keeps it. For
-    as long as the balancer sends more, thousands stay open, and the router has no
-    descriptor left to reach a server or a peer with.
+    """One large caller opens a new connection to a small VM for each call and keeps it.
+    While the balancer sends more, thousands stay open, and the router runs out of file
+    descriptors for connections to servers and peers.
     """
 
-    def test_a_router_is_saturated_for_some_seconds_after_the_last_sign(self):
+    def test_a_router_stays_saturated_for_some_seconds(self):
         guard = guard_at(0.0)
         saturate(guard, now=10.0)
         guard.lateness.note(0.0)
@@ -378,14 +376,15 @@
         assert all(seen[: int(SATURATED_S / SAMPLE_S)])
         assert not any(seen[int((SATURATED_S + 1.0) / SAMPLE_S) :])
 
-    def test_callers_stay_away_longer_each_time_that_they_were_too_many(self):
-        """A small VM is taken out of service, idles, is put back and gets the same
-        large caller again. The caller's calls would go to and fro between small VMs,
-        turned away for two seconds each time, while large ones idle.
+    def test_repeated_saturation_lasts_longer_each_time(self):
+        """A small VM is taken out of service, recovers, is put back and gets the same
+        large caller again. With a fixed time out of service, the calls would alternate
+        between small VMs and be rejected for two seconds each time, while large VMs are
+        idle.
         """
         guard = guard_at(0.0)
         now = 0.0
-        away = []
+        durations_s = []
         for _ in range(6):
             saturate(guard, now)
             begun = now
@@ -393,10 +392,10 @@
                 guard.lateness.note(0.0)
                 now += SAMPLE_S
                 guard.adapt(now)
-            away.append(now - begun)
-        assert all(4.0 < later < 30.0 for later in away[1:])
-        assert away[1] > 1.5 * away[0]
-        assert away[2] > 1.5 * away[1]
+            durations_s.append(now - begun)
+        assert all(4.0 < later < 30.0 for later in durations_s[1:])
+        assert durations_s[1] > 1.5 * durations_s[0]
+        assert durations_s[2] > 1.5 * durations_s[1]
         now += REPEAT_WINDOW_S + 1.0
         guard.adapt(now)
         saturate(guard, now)
@@ -406,13 +405,13 @@
             guard.adapt(now)
         assert not guard.saturated
 
-    def test_a_short_delay_saturates_nobody(self):
+    def test_a_short_delay_does_not_saturate_a_router(self):
         guard = guard_at(FAR_TOO_LATE_S)
         for _ in range(3):
             guard.adapt(0.0)
         assert not guard.saturated
 
-    def test_the_balancer_is_told_and_connections_are_closed(self):
+    def test_a_saturated_router_is_unready_and_closes_connections(self):
         async def echo(arrival, writer):
             writer.write(answer(200, b"done", arrival.header("x-id")))
 
