--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
@@ -16,7 +16,7 @@
 
 
 class SendOutcome(enum.StrEnum):
-    """What is known about a call after a failed send."""
+    """State what is known about a call after a failed send."""
 
     NOT_SENT = "not_sent"  # no byte was sent to the server
     NOT_RUN = "not_run"  # the server reported that it did not run the call
@@ -61,7 +61,7 @@
 
     @property
     def may_send(self) -> bool:
-        """Whether the call may be sent, or sent again."""
+        """Return whether the call may be sent, or sent again."""
         if self.sends >= self.max_attempts or self.unsent >= MAX_UNSENT:
             return False
         if self.may_have_run and not self.repeatable:
@@ -71,10 +71,10 @@
 
     @property
     def is_repeat(self) -> bool:
-        """Whether the next send counts against the retry budget."""
+        """Return whether the next send counts against the retry budget."""
         return self.sends > 0
 
     @property
     def ran(self) -> Ran:
-        """Whether the call ran, as the caller may be told."""
+        """Return whether the call ran, as the caller may be told."""
         return Ran.UNKNOWN if self.may_have_run or self.answer_begun else Ran.NOT_RUN
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
@@ -177,7 +177,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another call may use this connection.
+        """Return whether another call may use this connection.
 
         If a request is not sent completely, the server would read the next request as
         its rest. After unexpected bytes, the next call could get a wrong answer.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_lateness.py
@@ -33,7 +33,7 @@
 
     @property
     def sustained_s(self) -> float:
-        """Shortest delay in seconds among the samples of the last 0.12 s."""
+        """Return the shortest delay in seconds among the samples of the last 0.12 s."""
         if len(self._samples) < SUSTAINED_SAMPLES:
             return 0.0
         return min(self._samples)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
@@ -72,7 +72,7 @@
 
     @property
     def saturated(self) -> bool:
-        """Whether callers should use other routers.
+        """Return whether callers should use other routers.
 
         Callers that keep their connections would go on sending calls here that are all
         shed, until no connection is left for anything else.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
@@ -21,7 +21,7 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the head of the answer has been sent."""
+        """Return whether the head of the answer has been sent."""
 
     async def begin(self, status: int, headers: Headers) -> None:
         """Send the status and headers."""
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_stream.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_stream.py
@@ -30,7 +30,7 @@
 
     @property
     def pending(self) -> bytes:
-        """Bytes after the last complete event."""
+        """Return the bytes after the last complete event."""
         return self._incomplete
 
     def feed(self, chunk: bytes) -> StreamEvents | None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
@@ -34,7 +34,7 @@
 
 
 class BoundedLog(logging.Handler):
-    """Log handler that queues records and writes them from a task."""
+    """Queue log records and write them from a task."""
 
     def __init__(
         self, router: str, descriptor: int = STDOUT, rate: float = LINES_PER_S
@@ -56,7 +56,7 @@
 
     @property
     def waiting(self) -> int:
-        """Number of queued lines."""
+        """Return the number of queued lines."""
         return len(self._call_records) + len(self._state_records)
 
     def emit(self, record: logging.LogRecord) -> None:
--- a/packages/fulmarroad-serving/tests/slow_processor.py
+++ b/packages/fulmarroad-serving/tests/slow_processor.py
@@ -9,7 +9,7 @@
 
 
 class SlowLoop(VirtualTimeLoop):
-    """Event loop that advances the clock by a fixed time for each callback."""
+    """Advance the clock by a fixed time for each callback."""
 
     def call_soon(self, callback, *args, context=None):
         def run_slowly(*arguments):
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -50,7 +50,7 @@
 
 @define
 class Node:
-    """One router without sockets."""
+    """Hold one router without its sockets."""
 
     dispatcher: Dispatcher
     beliefs: RouterState
@@ -64,7 +64,7 @@
             self.peers._view.complete_report(self.peers._report(now), now)
         )
 
-    def knows_draining(self, server):
+    def leaving(self, server):
         """Return whether the router knows that a server is draining."""
         row = self.dispatcher.registry.get(server)
         return row is not None and row.instance.draining
@@ -130,7 +130,7 @@
                 reader.beliefs.apply_changes(change, 5, 60.0, "store")
                 reported_at = anyio.current_time()
                 with anyio.move_on_after(2 * SHORTEST_DRAIN_S):
-                    while not small.knows_draining("s"):
+                    while not small.leaving("s"):
                         await anyio.sleep(0)
                 took_s = anyio.current_time() - reported_at
                 group.cancel_scope.cancel()
@@ -187,7 +187,7 @@
 
 @define
 class Caller:
-    """Status and latency of the answer to one call."""
+    """Hold the status and latency of the answer to one call."""
 
     status: int = 0
     took_s: float = float("inf")
