--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
@@ -243,7 +243,7 @@
         if not self._parts:
             if self._closed:
                 raise ConnectionBrokenError("The connection is closed.")
-            raise SilentServerError(f"The server sent nothing for {timeout_s:.2f} s.")
+            raise SilentServerError(f"No byte came for {timeout_s:.2f} s.")
 
     def _add(self, part: _Part) -> None:
         self._parts.append(part)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
@@ -64,9 +64,7 @@
     wait_s: float = 0.0
     held_s: float = 0.0  # time until it was placed or refused
     read_tokens: int = 0  # prompt tokens not known to be cached at the server
-    expected_s: float = (
-        0.0  # estimated time from sending to the first part of the answer
-    )
+    expected_s: float = 0.0  # estimated time from sending to the first part
     begun_s: float = 0.0  # the same time as measured
     fingerprint: Fingerprint = b""  # set if servers crashed under the request
 
