--- a/packages/fulmarroad/src/fulmarroad/_datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/_datagrams.py
@@ -1,9 +1,9 @@
-"""Send and receive the packets of routers, all that wait in one turn of the loop.
+"""UDP socket that reads all waiting packets in one iteration of the event loop.
 
-Pattern of load: a router whose processor is used up, so that a turn of its event loop
-takes a tenth of a second. A library that hands out one packet a turn gets further
-behind with each packet that comes; operators would notice a router that decides by
-loads and news of many seconds ago although its peers told it in time.
+On a router with a saturated processor, one iteration of the event loop takes a tenth of
+a second. A library that delivers one packet per iteration falls further behind with
+each packet. The symptom is a router that decides by loads and member updates that are
+many seconds old although its peers sent newer ones in time.
 """
 
 from __future__ import annotations
@@ -14,18 +14,22 @@
 
 from fulmarroad.exceptions import TransportError
 
-MOST_BYTES = 65_536
-"""Longest packet of UDP."""
+MAX_DATAGRAM_BYTES = 65_536
+"""Receive buffer size in bytes; no UDP packet is larger."""
 
 MAX_PACKETS_PER_TURN = 256
-"""Packets read in one turn: more than collectors send in a second, and after a flood of
-them the loop still comes to its other work."""
+"""Maximum number of packets read in one iteration of the event loop.
+
+It is more than collectors send in a second, and during a flood of packets the loop
+still runs its other tasks.
+"""
 
 
 class PacketSocket:
-    """Own a UDP socket; use it as a context manager in a running loop.
+    """Bind a UDP socket and read it in the running event loop; a context manager.
 
-    `on_failure` gets what reading raises; the socket goes on.
+    `on_packet` gets each packet and its sender's host. `on_failure` gets the errors of
+    reads, after which reading continues.
     """
 
     def __init__(
@@ -49,17 +53,15 @@
     def __enter__(self) -> PacketSocket:
         host, port = self._address
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        made = socket.socket(family, socket.SOCK_DGRAM)
+        sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
-            made.setblocking(False)
-            made.bind(self._address)
+            sock.setblocking(False)
+            sock.bind(self._address)
         except OSError as error:
-            made.close()
-            raise TransportError(
-                f"UDP port {port} on {host} can't be bound."
-            ) from error
-        asyncio.get_running_loop().add_reader(made, self._read)
-        self._socket = made
+            sock.close()
+            raise TransportError(f"Cannot bind UDP port {port} on {host}.") from error
+        asyncio.get_running_loop().add_reader(sock, self._read)
+        self._socket = sock
         return self
 
     def __exit__(self, *details: object) -> None:
@@ -69,7 +71,7 @@
             self._socket = None
 
     def send(self, data: bytes, host: str, port: int) -> None:
-        """Send a packet; raise `OSError` or `OverflowError` for one that can't go."""
+        """Send a packet; raise `OSError` or `OverflowError` if that fails."""
         assert self._socket is not None
         self._socket.sendto(data, (host, port))
 
@@ -78,7 +80,7 @@
             if self._socket is None:
                 return
             try:
-                data, address = self._socket.recvfrom(MOST_BYTES)
+                data, address = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
--- a/packages/fulmarroad/src/fulmarroad/_gossip.py
+++ b/packages/fulmarroad/src/fulmarroad/_gossip.py
@@ -1,4 +1,4 @@
-"""The membership's task: one UDP socket, authentication, ticks and changes."""
+"""Membership task: the UDP socket, packet authentication, ticks and change streams."""
 
 from __future__ import annotations
 
@@ -29,18 +29,21 @@
 logger = logging.getLogger("fulmarroad.membership")
 
 TAG_BYTES = 16
-"""Bytes of the HMAC-SHA256 kept: half of it, too many to guess by sending packets."""
+"""Length of the truncated HMAC-SHA256 tag; half of it is infeasible to guess online."""
 
-REJECTED_LOG_S = 10.0
-"""Least time between two log lines on rejected packets, which anyone can send."""
+REJECTED_LOG_INTERVAL_S = 10.0
+"""Minimum time between two log lines on rejected packets, in seconds.
 
-CHANGES_KEPT = 1024
-"""Changes that wait for their reader; it finds the members themselves in `Swim`."""
+Anyone who reaches the port can send such packets.
+"""
+
+CHANGE_BUFFER_SIZE = 1024
+"""Capacity of the stream of changes; the full state of the members is in `Swim`."""
 
 
 @frozen
 class HigherVersionReported:
-    """Say that another router has a higher table version in force."""
+    """Report that another router has a higher table version in force."""
 
     version: int
     router: RouterName
@@ -50,8 +53,7 @@
     """Authenticate packets with the cluster's secret.
 
     UDP addresses can be forged: without a tag one packet could declare every router
-    dead. An old packet that somebody sends again says nothing new, as news are merged
-    by incarnation.
+    dead. A replayed packet changes nothing, as updates are merged by incarnation.
     """
 
     def __init__(self, secret: bytes) -> None:
@@ -63,13 +65,13 @@
         return self._tag(frame) + frame
 
     def open(self, packet: bytes) -> MembershipMessage:
-        """Return a packet's message; raise `MessageError` if it is not ours."""
+        """Return a packet's message; raise `MessageError` for an invalid packet."""
         tag, frame = packet[:TAG_BYTES], packet[TAG_BYTES:]
         if not hmac.compare_digest(tag, self._tag(frame)):
-            raise MessageError("A packet does not carry the cluster's tag.")
+            raise MessageError("The packet's authentication tag is invalid.")
         messages = decode(frame)
         if len(messages) != 1 or not isinstance(messages[0], MembershipMessage):
-            raise MessageError("A packet holds no membership message.")
+            raise MessageError("The packet contains no membership message.")
         return messages[0]
 
     def _tag(self, frame: bytes) -> bytes:
@@ -78,10 +80,11 @@
 
 
 class Gossip:
-    """Own the socket and the state machine; others call in and read two streams.
+    """Run the membership state machine over a UDP socket.
 
-    `cut` is for experiments that split the fleet: packets from and to the routers for
-    which it is true are dropped.
+    Member changes and higher table versions are published on two streams. `cut`
+    simulates network partitions: packets from and to routers for which it returns true
+    are dropped.
     """
 
     def __init__(
@@ -103,27 +106,27 @@
         self._socket: PacketSocket | None = None
         self._rejected = 0
         self._rejected_logged = float("-inf")
-        self._version_told = 0
+        self._version_published = 0
         self._send_change, self._changes = anyio.create_memory_object_stream[
             MemberChange
-        ](CHANGES_KEPT)
+        ](CHANGE_BUFFER_SIZE)
         self._send_version, self._versions = anyio.create_memory_object_stream[
             HigherVersionReported
         ](1)
 
     @property
     def swim(self) -> Swim:
-        """Return the state machine, to be read and not called into."""
+        """Return the state machine, for reading only."""
         return self._swim
 
     @property
     def changes(self) -> MemoryObjectReceiveStream[MemberChange]:
-        """Return the stream of changes; when it is full the newest are left out."""
+        """Return the stream of changes; it drops new ones while it is full."""
         return self._changes
 
     @property
     def versions(self) -> MemoryObjectReceiveStream[HigherVersionReported]:
-        """Return the stream of higher table versions heard; it holds one."""
+        """Return the stream of higher table versions of other routers; it holds one."""
         return self._versions
 
     async def run(
@@ -133,32 +136,32 @@
         *,
         task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Receive and tick until cancelled; start with the port that was bound."""
+        """Receive packets and tick until cancelled; report the bound port at start."""
         with PacketSocket(host, port, self._on_packet, self._on_failure) as packets:
             self._socket = packets
             task_status.started(packets.port)
             try:
                 while True:
-                    self._act(self._swim.tick(self._clock()))
+                    self._publish_and_send(self._swim.tick(self._clock()))
                     await anyio.sleep(TICK_S)
             finally:
                 self._socket = None
 
     async def hint(self, vms: Collection[VmEntry]) -> None:
-        """Pass a new VM list on."""
-        self._act(self._swim.hint(vms, self._clock()))
+        """Pass a new VM list to the state machine."""
+        self._publish_and_send(self._swim.hint(vms, self._clock()))
 
     async def announce_version(self, version: int) -> None:
-        """Tell others of the table version that is now in force here."""
-        self._act(self._swim.announce_version(version, self._clock()))
+        """Announce the table version that is now in force here to other routers."""
+        self._publish_and_send(self._swim.announce_version(version, self._clock()))
 
     async def probe_now(self, router: RouterName) -> None:
-        """Probe a router at once, as when a link to it broke."""
-        self._act(self._swim.probe_now(router, self._clock()))
+        """Probe a router at once, for example after its link broke."""
+        self._publish_and_send(self._swim.probe_now(router, self._clock()))
 
     async def leave(self) -> None:
-        """Tell others that this router goes."""
-        self._act(self._swim.leave(self._clock()))
+        """Announce to other routers that this one is leaving."""
+        self._publish_and_send(self._swim.leave(self._clock()))
 
     def _on_packet(self, packet: bytes, host: str) -> None:
         self._metrics.incr("membership.received_bytes", len(packet))
@@ -168,41 +171,41 @@
             self._reject(error)
             return
         if not self._cut(message.sender):
-            self._act(self._swim.handle(message, self._clock()))
+            self._publish_and_send(self._swim.handle(message, self._clock()))
 
     def _on_failure(self, error: OSError) -> None:
-        self._reject(MessageError(f"A packet can't be read: {error!r}."))
+        self._reject(MessageError(f"Reading from the UDP socket failed: {error!r}."))
 
     def _reject(self, error: MessageError) -> None:
         self._rejected += 1
         now = self._clock()
-        if now - self._rejected_logged < REJECTED_LOG_S:
+        if now - self._rejected_logged < REJECTED_LOG_INTERVAL_S:
             return
         self._rejected_logged = now
         emit(logger, Event.GOSSIP_REJECTED, cause=error.message, packets=self._rejected)
         self._rejected = 0
 
-    def _act(self, out: list[Outgoing]) -> None:
-        """Tell what changed, then send what the state machine asks for."""
+    def _publish_and_send(self, out: list[Outgoing]) -> None:
+        """Publish changes, then send the packets that the state machine returned."""
         for change in self._swim.changes():
-            self._tell(change)
-        self._tell_version()
-        for row in out:
-            if not self._cut(row.router):
-                self._send(row)
-
-    def _send(self, row: Outgoing) -> None:
-        packet = self._seal.seal(row.message)
+            self._publish_change(change)
+        self._publish_version()
+        for outgoing in out:
+            if not self._cut(outgoing.router):
+                self._send(outgoing)
+
+    def _send(self, outgoing: Outgoing) -> None:
+        packet = self._seal.seal(outgoing.message)
         self._metrics.incr("membership.sent_bytes", len(packet))
         if self._socket is None:
             return
         try:
-            self._socket.send(packet, row.host, row.port)
+            self._socket.send(packet, outgoing.host, outgoing.port)
         except (OSError, OverflowError):
-            # As good as a lost packet: the probe that it carried goes unanswered.
+            # Treated like a lost packet: its probe stays unanswered.
             self._metrics.incr("membership.send_failed")
 
-    def _tell(self, change: MemberChange) -> None:
+    def _publish_change(self, change: MemberChange) -> None:
         before = change.before.value if change.before else "unknown"
         refuted = change.router == self._swim.me.router and change.cause == "refuted"
         event = Event.MEMBER_REFUTED if refuted else Event.MEMBER_CHANGED
@@ -226,14 +229,14 @@
         try:
             self._send_change.send_nowait(change)
         except anyio.WouldBlock:
-            pass  # the reader has a thousand to read and looks at `Swim` then
+            pass  # a reader that is this far behind takes the members from `Swim`
 
-    def _tell_version(self) -> None:
+    def _publish_version(self) -> None:
         version, router = self._swim.highest_reported_version()
-        if version <= max(self._version_told, self._swim.table_version):
+        if version <= max(self._version_published, self._swim.table_version):
             return
         try:
             self._send_version.send_nowait(HigherVersionReported(version, router))
-            self._version_told = version
+            self._version_published = version
         except anyio.WouldBlock:
-            pass  # told again with the next packet, once the reader took the last one
+            pass  # retried after the next packet, once the reader received the last one
--- a/packages/fulmarroad/src/fulmarroad/_members.py
+++ b/packages/fulmarroad/src/fulmarroad/_members.py
@@ -1,4 +1,4 @@
-"""What is believed of each VM, merged so that every order of news ends the same."""
+"""State of each member, merged so that the order of the updates doesn't matter."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from fulmarroad.types import DataCentreName, MemberState, RouterName
 
 FORGET_S = 7200.0
-"""How long a dead member is kept and probed now and then, in seconds.
+"""How long a dead member is kept and probed occasionally, in seconds.
 
-Regions lose each other for an hour at times; both halves must still know each other
-when the network is back, also where the VM list does not answer. At 800 replaced VMs a
-day some 70 dead ones are kept.
+Regions are sometimes cut off from each other for an hour. Both sides must still know
+each other's members when the network recovers, even if the VM list is unavailable. With
+800 VMs replaced per day, about 70 dead members are kept.
 """
 
-GRAVE_S = 86400.0
-"""How long the last incarnation of a forgotten member is remembered, in seconds.
+TOMBSTONE_S = 86400.0
+"""How long a tombstone of a removed member is kept, in seconds.
 
-A process that wakes after hours may still spread that the member lives; without the
-grave that would bring it back for as long as it takes to find it dead again.
+A process that resumes after hours may still spread updates that say the member is
+alive. Without the tombstone these would restore it until probes find it dead again.
 """
 
 MAX_NAME_BYTES = 64
-"""Longest name or host that is taken, so that a packet's size stays bounded."""
+"""Maximum length of a name or host, which bounds the size of a packet."""
 
-# Within one incarnation the later state wins, and none goes back to an earlier one.
+# Within one incarnation the state with the higher rank wins.
 _RANK = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
@@ -39,7 +39,7 @@
 
 @frozen
 class Member:
-    """Describe one VM as this router believes it to be."""
+    """Hold the state of another VM as this router knows it."""
 
     router: RouterName
     incarnation: int
@@ -48,11 +48,11 @@
     host: str
     peer_port: int
     gossip_port: int
-    since: float  # when this state was first believed, on this router's clock
+    since: float  # when this router recorded the state, on its own clock
 
     @property
     def update(self) -> MemberUpdate:
-        """Return the belief as it is spread."""
+        """Return the update that spreads this state."""
         return MemberUpdate(
             self.router,
             self.incarnation,
@@ -66,7 +66,7 @@
 
 @frozen
 class MemberChange:
-    """Say that a belief changed, and why."""
+    """Describe a change of a member's state and its cause."""
 
     router: RouterName
     data_centre: DataCentreName
@@ -77,10 +77,11 @@
 
 
 def supersedes(update: MemberUpdate, known: MemberUpdate | Member) -> bool:
-    """Tell whether news replaces what is known.
+    """Tell whether an update replaces the known state of a member.
 
-    The higher incarnation wins, which only the VM itself raises; so a dead verdict
-    never beats a later life. Equal ones go by the order of the states.
+    The higher incarnation wins. Only the VM itself raises it, so a report that it is
+    dead never replaces a later run of it. Within one incarnation the higher-ranked
+    state wins.
     """
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
@@ -88,59 +89,59 @@
 
 
 class MemberTable:
-    """Hold the belief of every other VM."""
+    """Hold the state of every other VM."""
 
     def __init__(self) -> None:
         self._members: dict[RouterName, Member] = {}
-        self._graves: dict[RouterName, Member] = {}
+        self._tombstones: dict[RouterName, Member] = {}
         self._changes: list[MemberChange] = []
 
     @property
     def members(self) -> Mapping[RouterName, Member]:
-        """Return every member that is not forgotten."""
+        """Return all members that have not been removed."""
         return MappingProxyType(self._members)
 
     def get(self, router: RouterName) -> Member | None:
-        """Return a member, also a forgotten one as long as its grave is kept."""
-        return self._members.get(router) or self._graves.get(router)
+        """Return a member, or the tombstone of a removed one."""
+        return self._members.get(router) or self._tombstones.get(router)
 
     def merge(self, update: MemberUpdate, cause: str, now: float) -> Member | None:
-        """Take news in; return the new belief, or None if nothing changed."""
+        """Merge an update; return the new state, or None if nothing changed."""
         known = self.get(update.router)
         if known is not None and not supersedes(update, known):
             return None
         if not _is_usable(update, known):
             return None
-        member = _believe(update, known, now)
-        self._graves.pop(update.router, None)
+        member = _build_member(update, known, now)
+        self._tombstones.pop(update.router, None)
         self._members[update.router] = member
-        self._note(known, member, cause)
+        self._record_merge(known, member, cause)
         return member
 
     def forget(self, now: float) -> list[RouterName]:
-        """Drop members that have long been dead and return their names."""
-        old = [
+        """Remove members dead for `FORGET_S` and return their names."""
+        expired = [
             member
             for member in self._members.values()
             if member.state is MemberState.DEAD and now - member.since >= FORGET_S
         ]
-        for member in old:
-            self._graves[member.router] = self._members.pop(member.router)
-        for member in list(self._graves.values()):
-            if now - member.since >= GRAVE_S:
-                del self._graves[member.router]
-        return [member.router for member in old]
+        for member in expired:
+            self._tombstones[member.router] = self._members.pop(member.router)
+        for member in list(self._tombstones.values()):
+            if now - member.since >= TOMBSTONE_S:
+                del self._tombstones[member.router]
+        return [member.router for member in expired]
 
     def changes(self) -> list[MemberChange]:
-        """Return the changes since last asked."""
+        """Return the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def note(self, change: MemberChange) -> None:
-        """Add a change of this router itself."""
+    def record_change(self, change: MemberChange) -> None:
+        """Record a change of this router's own state."""
         self._changes.append(change)
 
-    def _note(self, known: Member | None, member: Member, cause: str) -> None:
+    def _record_merge(self, known: Member | None, member: Member, cause: str) -> None:
         change = MemberChange(
             member.router,
             member.data_centre,
@@ -153,10 +154,11 @@
 
 
 def _is_usable(update: MemberUpdate, known: Member | None) -> bool:
-    """Refuse news that could not be probed or would not fit into a packet.
+    """Tell whether the names fit into a packet and the member can be probed.
 
-    A death of which the life was never known is dropped as well: there is nothing
-    to mark dead, and its subject refutes it with a higher incarnation if it lives.
+    A dead state of an unknown member carries no address and is rejected too: there is
+    no member to mark dead, and a member that is alive refutes it with a higher
+    incarnation.
     """
     names = (update.router, update.data_centre, update.host)
     if any(len(name.encode()) > MAX_NAME_BYTES for name in names):
@@ -164,7 +166,7 @@
     return known is not None or bool(update.host and update.gossip_port)
 
 
-def _believe(update: MemberUpdate, known: Member | None, now: float) -> Member:
+def _build_member(update: MemberUpdate, known: Member | None, now: float) -> Member:
     member = Member(
         update.router,
         update.incarnation,
--- a/packages/fulmarroad/src/fulmarroad/_membership_view.py
+++ b/packages/fulmarroad/src/fulmarroad/_membership_view.py
@@ -1,4 +1,4 @@
-"""What this router believes of itself and of the others, and what it must tell."""
+"""State of this router and of the other members, and the updates to spread."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fulmarroad._members import Member, MemberChange, MemberTable, supersedes
 from fulmarroad._messages import MemberUpdate
 from fulmarroad._piggyback import UpdateQueue
-from fulmarroad._suspicion import SuspicionClock
+from fulmarroad._suspicion import SuspicionTimers
 from fulmarroad._vmlist import VmList
 from fulmarroad.types import DataCentreName, MemberState, RouterName
 
@@ -19,34 +19,34 @@
 
 
 class MembershipView:
-    """Merge news, run the suspects' timers and refute what is said of this router."""
+    """Merge updates, run suspicion timers and refute updates about this router."""
 
     def __init__(self, me: MemberUpdate, now: float) -> None:
         self._me = me
         self._table = MemberTable()
         self._queue = UpdateQueue()
-        self.clock = SuspicionClock(now)
+        self.timers = SuspicionTimers(now)
         self.vm_list = VmList()
-        self.urgent = True
+        self.push_pending = True
         self._queue.add(me)
 
     @property
     def me(self) -> MemberUpdate:
-        """Return what this router says of itself."""
+        """Return this router's own member update."""
         return self._me
 
     @property
     def table(self) -> MemberTable:
-        """Return the beliefs of the other VMs."""
+        """Return the states of the other members."""
         return self._table
 
     @property
     def count(self) -> int:
-        """Return how many members are known, dead ones included."""
+        """Return the number of members, with this router and dead ones."""
         return len(self._table.members) + 1
 
     def get(self, router: RouterName) -> Member | None:
-        """Return a member that is not forgotten."""
+        """Return a member that has not been removed."""
         return self._table.members.get(router)
 
     def is_reachable(self, router: RouterName) -> bool:
@@ -63,7 +63,7 @@
         }
 
     def others_after(self, after: RouterName) -> list[RouterName]:
-        """Return the other members that are not dead and come after a name."""
+        """Return the other members that are not dead and sort after a name."""
         return [
             router
             for router, member in self._table.members.items()
@@ -83,73 +83,78 @@
             )
         )
 
-    def lost(self) -> Collection[RouterName]:
-        """Return the dead members and the VMs of the list that never answered."""
+    def unreachable(self) -> Collection[RouterName]:
+        """Return the dead members and the listed VMs that never answered."""
         names = set(self._table.members) | set(self.vm_list.published())
         return names - self.others() - {self._me.router}
 
     def address(self, router: RouterName) -> Address | None:
-        """Return where a router listens; the list has the newer word on a dead one."""
+        """Return a router's address; the VM list takes precedence for a dead one."""
         vm = self.vm_list.get(router)
         member = self._table.get(router)
         if vm is not None and not self.is_reachable(router):
             return vm.host, vm.gossip_port
         return (member.host, member.gossip_port) if member else None
 
-    def merge_update(self, update: MemberUpdate, now: float, *, repeat: bool) -> None:
-        """Merge news; `repeat` false keeps them from being spread further."""
+    def merge_update(
+        self, update: MemberUpdate, now: float, *, propagate: bool
+    ) -> None:
+        """Merge an update; spread it further only if `propagate` is set."""
         if update.router == self._me.router:
-            self._defend(update)
+            self._refute(update)
             return
         member = self._table.merge(update, "gossip", now)
         if member is not None:
-            self._follow_up(member, now, repeat=repeat)
+            self._handle_change(member, now, propagate=propagate)
 
     def declare_state(
         self, router: RouterName, state: MemberState, cause: str, now: float
     ) -> None:
-        """Change a belief by this router's own finding and spread it at once."""
-        verdict = evolve(self._table.members[router].update, state=state)
-        member = self._table.merge(verdict, cause, now)
+        """Change a member's state by this router's own probes and push it at once."""
+        declared = evolve(self._table.members[router].update, state=state)
+        member = self._table.merge(declared, cause, now)
         if member is not None:
-            self._follow_up(member, now, repeat=True)
-            self.urgent = True
+            self._handle_change(member, now, propagate=True)
+            self.push_pending = True
 
     def leave(self) -> bool:
-        """Mark this router as leaving; return whether it was not yet."""
+        """Mark this router as leaving; return False if it already was."""
         if self._me.state is MemberState.LEAVING:
             return False
         self._set_me(MemberState.LEAVING, self._me.incarnation, "left")
         return True
 
-    def start_again(self) -> None:
-        """Drop the news that a pause made old."""
+    def clear_stale_updates(self) -> None:
+        """Drop the queued updates, which a pause made outdated."""
         self._queue.clear()
         self._queue.add(self._me)
 
     def updates_for(self, router: RouterName) -> tuple[MemberUpdate, ...]:
-        """Return this router's own state, what the receiver must refute, and news.
+        """Return the updates to piggyback on a packet to a router.
 
-        One that may not be there gets no news, or they would count as spread.
+        The first is this router's own. A receiver that is not known to be alive gets
+        only its own state besides, which it may have to refute: queued updates would
+        count as sent although it may never receive them.
         """
-        belief = self._table.get(router)
-        if belief is None:
+        member = self._table.get(router)
+        if member is None:
             return (self._me,)
-        if belief.state is not MemberState.ALIVE:
-            return (self._me, belief.update)
-        return self._queue.take([self._me], self.count)
+        if member.state is not MemberState.ALIVE:
+            return (self._me, member.update)
+        return self._queue.take_for_packet([self._me], self.count)
 
-    def _follow_up(self, member: Member, now: float, *, repeat: bool) -> None:
-        if repeat:
+    def _handle_change(self, member: Member, now: float, *, propagate: bool) -> None:
+        if propagate:
             self._queue.add(member.update)
-            # Callers wait for what a lost VM held until all know that it is lost.
-            self.urgent |= member.state in (MemberState.DEAD, MemberState.LEAVING)
-        self.clock.clear(member.router)
+            # Callers wait for the roles of a lost VM until all routers know of its
+            # loss.
+            self.push_pending |= member.state in (MemberState.DEAD, MemberState.LEAVING)
+        self.timers.clear(member.router)
         if member.state is MemberState.SUSPECT:
-            self.clock.record_reported_suspicion(member.router, self.count, now)
+            self.timers.record_reported_suspicion(member.router, self.count, now)
 
-    def _defend(self, update: MemberUpdate) -> None:
-        """Refute what is said of this router, or of its former life, if it counts."""
+    def _refute(self, update: MemberUpdate) -> None:
+        """Refute an update that supersedes this router's own state."""
         if supersedes(update, self._me):
             self._set_me(self._me.state, update.incarnation + 1, "refuted")
 
@@ -157,7 +162,7 @@
         before = self._me.state
         self._me = evolve(self._me, state=state, incarnation=incarnation)
         self._queue.add(self._me)
-        self.urgent = True
+        self.push_pending = True
         name, centre = self._me.router, self._me.data_centre
         change = MemberChange(name, centre, before, state, incarnation, cause)
-        self._table.note(change)
+        self._table.record_change(change)
--- a/packages/fulmarroad/src/fulmarroad/_memory_network.py
+++ b/packages/fulmarroad/src/fulmarroad/_memory_network.py
@@ -1,4 +1,4 @@
-"""Streams between routers in memory, which can be delayed, held and cut."""
+"""In-memory streams between routers that tests can delay, hold and cut."""
 
 from __future__ import annotations
 
@@ -16,79 +16,80 @@
 from fulmarroad.types import RouterName
 
 DELAY_S = 0.001
+"""Default delay of connections and frames, in seconds."""
 
 
 @define(eq=False)
-class _Wire:
-    """Hold one open stream."""
+class _OpenStream:
+    """Hold the endpoints of an open stream and the scope that cancels it."""
 
-    ends: frozenset[RouterName]
+    endpoints: frozenset[RouterName]
     scope: anyio.CancelScope
 
 
 @define(eq=False)
 class MemoryNetwork:
-    """Join routers of one process by streams that carry encoded frames.
+    """Connect the routers of one process by streams that carry encoded frames.
 
-    `cut` breaks the streams between two sides and lets none be opened; `hold` keeps
-    a router's frames both ways until `release`, as when its process is frozen; `drop`
-    takes a router off the network as when its VM dies.
+    `cut` breaks the streams between two routers and prevents new ones. `hold` delays
+    the frames from and to a router until `release`, like a frozen process. `drop`
+    removes a router from the network, like a failed VM.
     """
 
     delay_s: float = DELAY_S
     _handlers: dict[RouterName, PeerHandler] = field(factory=dict)
     _cuts: set[frozenset[RouterName]] = field(factory=set)
     _held: dict[RouterName, anyio.Event] = field(factory=dict)
-    _wires: dict[int, _Wire] = field(factory=dict)
+    _streams: dict[int, _OpenStream] = field(factory=dict)
     _ids: itertools.count[int] = field(factory=itertools.count)
 
     def join(self, router: RouterName, handler: PeerHandler) -> None:
-        """Let a router be reached."""
+        """Make a router reachable through its handler."""
         self._handlers[router] = handler
 
     def drop(self, router: RouterName) -> None:
-        """Take a router off and break its streams."""
+        """Remove a router and break its streams."""
         self._handlers.pop(router, None)
-        self._break(lambda ends: router in ends)
+        self._break_streams(lambda endpoints: router in endpoints)
 
     def cut(self, one: RouterName, other: RouterName) -> None:
-        """Keep two routers apart."""
+        """Break the streams between two routers and prevent new ones."""
         pair = frozenset((one, other))
         self._cuts.add(pair)
-        self._break(lambda ends: ends == pair)
+        self._break_streams(lambda endpoints: endpoints == pair)
 
     def heal(self) -> None:
         """Remove every cut."""
         self._cuts.clear()
 
     def hold(self, router: RouterName) -> None:
-        """Keep a router's frames until `release`."""
+        """Delay the frames from and to a router until `release`."""
         self._held.setdefault(router, anyio.Event())
 
     def release(self, router: RouterName) -> None:
-        """Let a router's frames go on, in their order."""
+        """Deliver a router's held frames in their order."""
         self._held.pop(router).set()
 
     def dial(self, me: RouterName) -> Callable[[RouterName, PeerAddress], MemoryStream]:
-        """Return how a router opens streams."""
+        """Return the function that opens a router's streams to its peers."""
         return lambda peer, address: MemoryStream(self, me, peer)
 
-    def _break(self, affected: Callable[[frozenset[RouterName]], bool]) -> None:
-        for wire in list(self._wires.values()):
-            if affected(wire.ends):
-                wire.scope.cancel()
+    def _break_streams(self, affected: Callable[[frozenset[RouterName]], bool]) -> None:
+        for stream in list(self._streams.values()):
+            if affected(stream.endpoints):
+                stream.scope.cancel()
 
     async def _connect(self, me: RouterName, peer: RouterName) -> PeerHandler:
         await anyio.sleep(self.delay_s)
         if frozenset((me, peer)) in self._cuts:
             await anyio.sleep(CONNECT_TIMEOUT_S)
-            raise TransportError(f"Router {peer} can't be reached.")
+            raise TransportError(f"Router {peer} is unreachable.")
         handler = self._handlers.get(peer)
         if handler is None or me not in self._handlers:
             raise TransportError(f"Router {peer} refused the connection.")
         return handler
 
-    async def _pass(self, me: RouterName, peer: RouterName) -> None:
+    async def _delay_frame(self, me: RouterName, peer: RouterName) -> None:
         await anyio.sleep(self.delay_s)
         for router in (me, peer):
             while router in self._held:
@@ -96,7 +97,7 @@
 
 
 class MemoryStream:
-    """Be one router's stream to a peer."""
+    """Stream from one router to a peer."""
 
     def __init__(self, network: MemoryNetwork, me: RouterName, peer: RouterName):
         self._network = network
@@ -115,33 +116,37 @@
         answers = Outbox(TrafficCount())
         handle = handler.on_attached(self._me, answers.put)
         on_up()
-        number = next(network._ids)
+        stream_id = next(network._ids)
         try:
             async with anyio.create_task_group() as group:
-                ends = frozenset((self._me, self._peer))
-                network._wires[number] = _Wire(ends, group.cancel_scope)
+                endpoints = frozenset((self._me, self._peer))
+                network._streams[stream_id] = _OpenStream(endpoints, group.cancel_scope)
 
-                def take(message: Any) -> None:
+                def deliver_to_peer(message: Any) -> None:
                     handler.on_message(self._me, message)
 
-                group.start_soon(self._pump, outbox, take, group.cancel_scope)
-                group.start_soon(self._pump, answers, on_message, group.cancel_scope)
+                group.start_soon(
+                    self._forward_frames, outbox, deliver_to_peer, group.cancel_scope
+                )
+                group.start_soon(
+                    self._forward_frames, answers, on_message, group.cancel_scope
+                )
         finally:
-            del network._wires[number]
+            del network._streams[stream_id]
             handler.on_detached(self._me, handle)
-        raise TransportError(f"The stream to {self._peer} ended.")
+        raise TransportError(f"The stream to router {self._peer} ended.")
 
     async def close(self) -> None:
-        """Do nothing; a stream in memory holds no connection."""
+        """Do nothing; an in-memory stream holds no connection."""
 
-    async def _pump(
+    async def _forward_frames(
         self,
         outbox: Outbox,
         deliver: Callable[[Any], None],
         scope: anyio.CancelScope,
     ) -> None:
         async for frame in outbox.frames():
-            await self._network._pass(self._me, self._peer)
+            await self._network._delay_frame(self._me, self._peer)
             for message in decode(frame):
                 deliver(message)
         scope.cancel()
--- a/packages/fulmarroad/src/fulmarroad/_packets.py
+++ b/packages/fulmarroad/src/fulmarroad/_packets.py
@@ -1,4 +1,4 @@
-"""Build membership packets: addresses, piggybacked news, the own table version."""
+"""Build membership packets with addresses, piggybacked updates and table version."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @frozen
 class Outgoing:
-    """Hold a message and where it goes."""
+    """Hold a message and its destination."""
 
     router: RouterName
     host: str
@@ -31,32 +31,34 @@
 
 
 class PacketBuilder:
-    """Address messages; one to a router without a known address is left out."""
+    """Build and address messages; drop those to a router without a known address."""
 
     def __init__(
         self,
-        beliefs: MembershipView,
+        view: MembershipView,
         version_tracker: VersionTracker,
         rng: random.Random,
     ) -> None:
-        self._view = beliefs
+        self._view = view
         self._version_tracker = version_tracker
         self._rng = rng
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """Return a number that no other packet of this life carries."""
+        """Return a sequence number that is unique for this run of the process."""
         self._sequence += 1
         return self._sequence
 
-    def some(self, count: int, without: RouterName = "") -> list[RouterName]:
-        """Return some random members that are not dead."""
-        rows = sorted(self._view.others() - {without})
+    def sample_members(self, count: int, exclude: RouterName = "") -> list[RouterName]:
+        """Return up to `count` random members that are not dead."""
+        rows = sorted(self._view.others() - {exclude})
         return self._rng.sample(rows, min(count, len(rows)))
 
     def push(self, count: int) -> list[Outgoing]:
-        """Ping some random members at once, for the sake of what rides along."""
-        return [row for router in self.some(count) for row in self.ping(router)]
+        """Ping some random members to deliver the piggybacked updates at once."""
+        return [
+            row for router in self.sample_members(count) for row in self.ping(router)
+        ]
 
     def ping(self, router: RouterName, sequence: int = 0) -> list[Outgoing]:
         """Probe a router."""
@@ -69,25 +71,25 @@
             self._view.updates_for(router),
             router,
         )
-        return self._to(router, ping)
+        return self._outgoing(router, ping)
 
-    def request(
-        self, helper: RouterName, target: RouterName, sequence: int
+    def ping_request(
+        self, relay: RouterName, target: RouterName, sequence: int
     ) -> list[Outgoing]:
-        """Ask a helper to probe a target."""
-        request = PingRequest(
+        """Ask another member to probe a target."""
+        ping_request = PingRequest(
             sequence,
             self._view.me.router,
             target,
             self._version_tracker.own,
-            self._view.updates_for(helper),
+            self._view.updates_for(relay),
         )
-        return self._to(helper, request)
+        return self._outgoing(relay, ping_request)
 
     def ack(
         self, router: RouterName, sequence: int, target: RouterName, incarnation: int
     ) -> list[Outgoing]:
-        """Answer a probe, for oneself or for the target of a ping request."""
+        """Answer a probe, or relay the answer of the target of a ping request."""
         ack = Ack(
             sequence,
             self._view.me.router,
@@ -96,20 +98,20 @@
             self._version_tracker.own,
             self._view.updates_for(router),
         )
-        return self._to(router, ack)
+        return self._outgoing(router, ack)
 
     def request_page(
         self, router: RouterName, after: RouterName, sequence: int
     ) -> list[Outgoing]:
-        """Ask for a page of members."""
-        wanted = MembersWanted(
+        """Request a page of members."""
+        page_request = MembersWanted(
             sequence,
             self._view.me.router,
             self._version_tracker.own,
             after,
             self._view.updates_for(router),
         )
-        return self._to(router, wanted)
+        return self._outgoing(router, page_request)
 
     def send_page(
         self,
@@ -119,8 +121,8 @@
         *,
         more: bool,
     ) -> list[Outgoing]:
-        """Give a page of members."""
-        given = MembersGiven(
+        """Send a page of members."""
+        response = MembersGiven(
             sequence,
             self._view.me.router,
             self._version_tracker.own,
@@ -128,9 +130,11 @@
             last=page[-1].router if page else "",
             more=more,
         )
-        return self._to(router, given)
+        return self._outgoing(router, response)
 
-    def _to(self, router: RouterName, message: MembershipMessage) -> list[Outgoing]:
+    def _outgoing(
+        self, router: RouterName, message: MembershipMessage
+    ) -> list[Outgoing]:
         address = self._view.address(router)
         if address is None:
             return []
--- a/packages/fulmarroad/src/fulmarroad/_pages.py
+++ b/packages/fulmarroad/src/fulmarroad/_pages.py
@@ -1,88 +1,93 @@
-"""Ask for all members page by page: at the start, after a pause, now and then."""
+"""Paged member sync, which runs at start, after a pause and at regular intervals."""
 
 from __future__ import annotations
 
 from fulmarroad._membership_view import MembershipView
 from fulmarroad._messages import MembersGiven, MembersWanted
 from fulmarroad._packets import Outgoing, PacketBuilder
-from fulmarroad._piggyback import UPDATE_BYTES, fitting, update_size
+from fulmarroad._piggyback import MAX_UPDATE_BYTES, fit_updates, update_size
 
-SYNC_S = 30.0
-"""Time between two pages that are asked for to mend what gossip missed, in seconds."""
+SYNC_INTERVAL_S = 30.0
+"""Time between two page requests that repair missed gossip, in seconds."""
 
-RETRY_S = 1.0
-"""Wait for a page before another member is asked, in seconds."""
+PAGE_TIMEOUT_S = 1.0
+"""Time to wait for a page before another member is asked, in seconds."""
 
 
 class MemberPageSync:
-    """Walk through the members that others know.
+    """Request the members that other routers know, page by page.
 
-    News reach a new router only as they happen, and probing 370 VMs one a second
-    would take six minutes, in which its callers wait for schedulers that are not live.
+    Gossip carries changes only, so a new router does not learn the existing members
+    from it. Probing 370 VMs at one a second would take six minutes, in which its
+    callers wait for schedulers that it does not know to be live.
     """
 
     def __init__(
-        self, beliefs: MembershipView, packets: PacketBuilder, now: float
+        self, view: MembershipView, packets: PacketBuilder, now: float
     ) -> None:
-        self._view = beliefs
+        self._view = view
         self._packets = packets
-        self._asked = 0  # sequence number of the page that is awaited
+        self._awaited_sequence = 0  # of the last page request
         self._complete = False
-        self.begin(now)
+        self.restart(now)
 
     @property
     def complete(self) -> bool:
-        """Tell whether a walk has ever reached the end."""
+        """Tell whether the last page has been received at least once."""
         return self._complete
 
-    def begin(self, now: float) -> None:
-        """Walk from the start, as what is known may be old."""
+    def restart(self, now: float) -> None:
+        """Start again from the first page, as the known members may be outdated."""
         self._cursor = ""
         self._due = now
-        self._walking = True
-        self._known = self._view.count
+        self._syncing = True
+        self._known_count = self._view.count
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Ask for the next page if it is due."""
+        """Request the next page from a random member if it is due."""
         if now < self._due:
             return []
-        self._due = now + (RETRY_S if self._walking else SYNC_S)
-        return [row for router in self._packets.some(1) for row in self._want(router)]
-
-    def serve_page(self, wanted: MembersWanted) -> list[Outgoing]:
-        """Give the members that are not dead.
-
-        A death that is no news any more would only cost its subject a refutation, if
-        it came back meanwhile.
+        self._due = now + (PAGE_TIMEOUT_S if self._syncing else SYNC_INTERVAL_S)
+        return [
+            row
+            for router in self._packets.sample_members(1)
+            for row in self._request_page(router)
+        ]
+
+    def serve_page(self, request: MembersWanted) -> list[Outgoing]:
+        """Answer a page request with members that are not dead.
+
+        An old dead state would only force its member to refute it, if that has returned
+        in the meantime.
         """
         table = self._view.table.members
-        names = sorted(self._view.others_after(wanted.after))
+        names = sorted(self._view.others_after(request.after))
         rows = (table[name].update for name in names)
-        room = UPDATE_BYTES - update_size(self._view.me)
-        page = fitting(rows, room)
+        free_bytes = MAX_UPDATE_BYTES - update_size(self._view.me)
+        page = fit_updates(rows, free_bytes)
         return self._packets.send_page(
-            wanted.sender, wanted.sequence, page, more=len(page) < len(names)
+            request.sender, request.sequence, page, more=len(page) < len(names)
         )
 
-    def receive_page(self, given: MembersGiven, now: float) -> list[Outgoing]:
-        """Go on to the next page while the walk lasts."""
-        if given.sequence != self._asked:
+    def receive_page(self, response: MembersGiven, now: float) -> list[Outgoing]:
+        """Process a page and request the next one until the sync is finished."""
+        if response.sequence != self._awaited_sequence:
             return []
-        self._cursor = given.last if given.more else ""
-        if not given.more:
-            self._end_walk(now)
-        if not self._walking:
-            self._due = now + SYNC_S
+        self._cursor = response.last if response.more else ""
+        if not response.more:
+            self._finish_pass(now)
+        if not self._syncing:
+            self._due = now + SYNC_INTERVAL_S
             return []
-        self._due = now + RETRY_S
-        return self._want(given.sender) if given.more else []
+        self._due = now + PAGE_TIMEOUT_S
+        return self._request_page(response.sender) if response.more else []
 
-    def _end_walk(self, now: float) -> None:
-        """Walk again while that finds new members, as when a whole fleet starts."""
+    def _finish_pass(self, now: float) -> None:
+        """Repeat the sync if it found new members, as while a whole fleet starts."""
         self._complete = True
-        self._walking = self._view.count > self._known
-        self._known = self._view.count
+        self._syncing = self._view.count > self._known_count
+        self._known_count = self._view.count
 
-    def _want(self, router: str) -> list[Outgoing]:
-        self._asked = self._packets.next_sequence()
-        return self._packets.request_page(router, self._cursor, self._asked)
+    def _request_page(self, router: str) -> list[Outgoing]:
+        self._awaited_sequence = self._packets.next_sequence()
+        return self._packets.request_page(router, self._cursor, self._awaited_sequence)
--- a/packages/fulmarroad/src/fulmarroad/_piggyback.py
+++ b/packages/fulmarroad/src/fulmarroad/_piggyback.py
@@ -1,4 +1,4 @@
-"""Which news ride on the next membership packet."""
+"""Selection of the updates that are piggybacked on the next membership packet."""
 
 from __future__ import annotations
 
@@ -11,42 +11,48 @@
 from fulmarroad.types import MemberState, RouterName
 
 PACKET_BYTES = 1200
-"""Largest packet: below every usual MTU, as one lost fragment loses all of them."""
+"""Maximum packet size, below every usual MTU.
 
-UPDATE_BYTES = 880
-"""Room for updates in a packet; the rest is for the header, names and the tag."""
+A fragmented packet is lost as a whole if one of its fragments is lost.
+"""
+
+MAX_UPDATE_BYTES = 880
+"""Maximum size of the updates in a packet; the rest is header, names and tag."""
 
 RETRANSMIT_FACTOR = 2
-"""Times that each router repeats an update, for each doubling of the members.
+"""Number of times that each router sends an update, per doubling of the members.
 
-Epidemics reach all of n members when each repeats about log n times. At half of this
-some of nine members missed a death and found it by their own probes, ten seconds late.
+Gossip reaches all of n members if each sends an update about log n times. With half of
+this value, some of nine members missed a dead state and detected it by their own
+probes, ten seconds late.
 """
 
 
 def update_size(update: MemberUpdate) -> int:
-    """Return an upper bound of the bytes that an update takes in a packet."""
+    """Return an upper bound of an update's encoded size in bytes."""
     texts = (update.router, update.data_centre, update.host)
     numbers = 1 + 9 + 9 + 3 + 3  # row, state, incarnation, two ports
     return numbers + sum(len(text.encode()) + 2 for text in texts)
 
 
-def fitting(updates: Iterable[MemberUpdate], room: int) -> tuple[MemberUpdate, ...]:
-    """Return the leading updates that fit into some bytes, one for each VM."""
+def fit_updates(
+    updates: Iterable[MemberUpdate], free_bytes: int
+) -> tuple[MemberUpdate, ...]:
+    """Return the first updates that fit into `free_bytes`, one for each VM."""
     chosen: dict[RouterName, MemberUpdate] = {}
     for update in updates:
         if update.router in chosen:
             continue
-        room -= update_size(update)
-        if room < 0:
+        free_bytes -= update_size(update)
+        if free_bytes < 0:
             break
         chosen[update.router] = update
     return tuple(chosen.values())
 
 
-def retransmits(members: int) -> int:
-    """Return how often an update is repeated among so many members."""
-    return RETRANSMIT_FACTOR * math.ceil(math.log2(members + 1))
+def retransmit_limit(member_count: int) -> int:
+    """Return how often a router sends an update, by the number of members."""
+    return RETRANSMIT_FACTOR * math.ceil(math.log2(member_count + 1))
 
 
 @define
@@ -56,31 +62,34 @@
 
 
 class UpdateQueue:
-    """Hold the news that still have to be spread, the least spread first."""
+    """Hold the updates to spread; the least often sent ones go first."""
 
     def __init__(self) -> None:
         self._queued: dict[RouterName, _Queued] = {}
 
     def add(self, update: MemberUpdate) -> None:
-        """Spread an update in place of an older one of the same VM."""
+        """Queue an update; it replaces an older one of the same VM."""
         self._queued[update.router] = _Queued(_without_address_if_dead(update))
 
     def clear(self) -> None:
-        """Drop all news."""
+        """Drop all queued updates."""
         self._queued.clear()
 
-    def take(
-        self, first: list[MemberUpdate], members: int, room: int = UPDATE_BYTES
+    def take_for_packet(
+        self,
+        first: list[MemberUpdate],
+        member_count: int,
+        free_bytes: int = MAX_UPDATE_BYTES,
     ) -> tuple[MemberUpdate, ...]:
-        """Return the updates for one packet: those that must go first, then news."""
+        """Return the updates for one packet: `first`, then queued ones that fit."""
         ordered = sorted(self._queued.values(), key=lambda queued: queued.sent)
-        news = [queued.update for queued in ordered]
-        chosen = fitting(first + news, room)
+        queued_updates = [queued.update for queued in ordered]
+        chosen = fit_updates(first + queued_updates, free_bytes)
         for update in chosen:
-            self._count(update, retransmits(members))
+            self._count_sent(update, retransmit_limit(member_count))
         return chosen
 
-    def _count(self, update: MemberUpdate, limit: int) -> None:
+    def _count_sent(self, update: MemberUpdate, limit: int) -> None:
         queued = self._queued.get(update.router)
         if queued is None or queued.update != update:
             return
--- a/packages/fulmarroad/src/fulmarroad/_probes.py
+++ b/packages/fulmarroad/src/fulmarroad/_probes.py
@@ -1,4 +1,4 @@
-"""Whom to probe next, which probe is open, and for whom an answer is passed on."""
+"""Order of probes, the probe in progress, and probes relayed for other members."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from fulmarroad._messages import PingRequest
 from fulmarroad.types import RouterName
 
-RELAY_S = 2.0
-"""How long an answer is still passed on to the member that asked, in seconds."""
+RELAY_TIMEOUT_S = 2.0
+"""How long an answer is relayed to the member that requested it, in seconds."""
 
 
 @define
 class Probe:
-    """Hold the probe of this period."""
+    """Hold the state of the probe in progress."""
 
     target: RouterName
     sequence: int
@@ -25,49 +25,51 @@
 
 
 class ProbeOrder:
-    """Go round all members in a random order, so that none waits long for its probe.
+    """Iterate over all members in random order, reshuffled after each round.
 
-    Picking one at random each time would leave a dead member unprobed for several
-    times the number of members in periods, now and then.
+    With an independent random choice each time, a dead member would occasionally stay
+    unprobed for several rounds' worth of periods.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._round: list[RouterName] = []
+        self._remaining: list[RouterName] = []
 
     def next(self, members: Collection[RouterName]) -> RouterName | None:
         """Return the member whose turn it is."""
-        while self._round:
-            router = self._round.pop()
+        while self._remaining:
+            router = self._remaining.pop()
             if router in members:
                 return router
-        self._round = sorted(members)
-        self._rng.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        self._remaining = sorted(members)
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop() if self._remaining else None
 
 
 @frozen
 class _Relay:
     request: PingRequest
-    until: float
+    expires_at: float
 
 
 class Relays:
-    """Remember whose ping requests wait for an answer."""
+    """Keep the ping requests of other members that wait for an answer."""
 
     def __init__(self) -> None:
-        self._open: dict[int, _Relay] = {}
+        self._pending: dict[int, _Relay] = {}
 
     def add(self, sequence: int, request: PingRequest, now: float) -> None:
-        """Remember a request that went out as a probe with a sequence number."""
-        self._open[sequence] = _Relay(request, now + RELAY_S)
+        """Add a request that was relayed as a probe with this sequence number."""
+        self._pending[sequence] = _Relay(request, now + RELAY_TIMEOUT_S)
 
-    def answered(self, sequence: int) -> PingRequest | None:
-        """Return the request that an answer belongs to."""
-        relay = self._open.pop(sequence, None)
+    def finish(self, sequence: int) -> PingRequest | None:
+        """Remove and return the request that an answer belongs to, or None."""
+        relay = self._pending.pop(sequence, None)
         return relay.request if relay else None
 
     def expire(self, now: float) -> None:
-        """Drop requests whose answer would come too late."""
-        for sequence in [key for key, row in self._open.items() if now >= row.until]:
-            del self._open[sequence]
+        """Drop the requests that waited longer than `RELAY_TIMEOUT_S`."""
+        for sequence in [
+            key for key, row in self._pending.items() if now >= row.expires_at
+        ]:
+            del self._pending[sequence]
--- a/packages/fulmarroad/src/fulmarroad/_suspicion.py
+++ b/packages/fulmarroad/src/fulmarroad/_suspicion.py
@@ -1,4 +1,4 @@
-"""When a suspected member counts as dead, and when this router must doubt itself."""
+"""Timers that turn suspects into dead members, and detection of own pauses."""
 
 from __future__ import annotations
 
@@ -6,103 +6,109 @@
 
 from fulmarroad.types import RouterName
 
-SUSPICION_S = 1.0
-"""How long a suspected member of up to ten may refute, in seconds.
+SUSPICION_TIMEOUT_S = 1.0
+"""Time that a suspect has to refute in a fleet of up to ten members, in seconds.
 
-It is told of the suspicion four times within it, so that a lost packet or two doesn't
-kill it, while with the probe's 0.6 s a dead one is known about two seconds after its
-last answer. It grows with the logarithm of the members, as the news and the refutation
-then take more hops.
+The suspect is notified four times within it, so one or two lost packets don't make it
+dead. Together with the probe's 0.6 s, a dead member is detected about two seconds after
+its last answer. The time grows with the logarithm of the member count, as the suspicion
+and the refutation then take more hops.
 """
 
-HEARSAY_FACTOR = 2.0
-"""How much longer a suspect may refute at those who only heard of the suspicion.
+REPORTED_SUSPICION_FACTOR = 2.0
+"""Factor on the timeout of a suspicion that another router reported.
 
-The one that raised it probes the suspect all the time; to others a refutation comes by
-gossip alone. With the same time for all, a tenth of the packets lost made one of nine
-members that ran dead within two minutes.
+The router that raised the suspicion keeps probing the suspect; the others receive a
+refutation through gossip only. With the same timeout for all and a tenth of the packets
+lost, one of nine running members was declared dead within two minutes.
 """
 
-REMIND_S = 0.3
-"""How often the member that raised a suspicion probes the suspect again."""
+REMINDER_INTERVAL_S = 0.3
+"""Interval at which the router that raised a suspicion probes the suspect again."""
 
-PAUSE_S = 0.6
-"""A gap between two ticks above this means that this process did not run.
+MAX_TICK_GAP_S = 0.6
+"""Gap between two ticks above which this process counts as paused, in seconds.
 
-Ticks come every 0.1 s and answers are awaited for 0.6 s: after a longer gap an
-unanswered probe says nothing, as the answer may still wait in the socket.
+Ticks come every 0.1 s and a probe waits 0.6 s for answers. After a longer gap an
+unanswered probe proves nothing, as the answer may still be in the socket's buffer.
 """
 
-DOUBT_S = 2.0
-"""How long after a pause this router accuses nobody: two probe periods."""
+RECOVERY_S = 2.0
+"""How long after a pause this router suspects no member: two probe periods."""
 
 
-class SuspicionClock:
-    """Run a timer for each suspect, and stop judging after an own pause.
+class SuspicionTimers:
+    """Run a timer for each suspect, and expire none right after an own pause.
 
-    What goes wrong without the doubt: a process that was stopped for ten seconds finds
-    every timer run out when it wakes, spreads that all others are dead, and each
-    of them has to refute while its shards are taken away. One would notice a burst of
-    member changes, all caused by one router.
+    Otherwise a process that was stopped for ten seconds would find all timers expired
+    when it resumes and report all other members as dead. Each of them would have to
+    refute while its shards are reassigned. The symptom is a burst of member changes
+    that one router causes.
     """
 
     def __init__(self, now: float) -> None:
         self._deadlines: dict[RouterName, float] = {}
-        self._accused: dict[RouterName, float] = {}  # by this router: next reminder
-        self._ticked = now
-        self._doubt_until = now
+        self._own_suspicions: dict[RouterName, float] = {}  # next reminder of each
+        self._last_tick = now
+        self._recovery_end = now
 
     def recovering_from_pause(self, now: float) -> bool:
-        """Tell whether this router has just woken from a pause."""
-        return now < self._doubt_until
-
-    def detect_pause(self, now: float, members: int) -> bool:
-        """Note a tick; tell whether it ends a pause, and if so grant all a new term."""
-        gap = now - self._ticked
-        self._ticked = now
-        if gap <= PAUSE_S:
+        """Tell whether this process has just resumed from a pause."""
+        return now < self._recovery_end
+
+    def detect_pause(self, now: float, member_count: int) -> bool:
+        """Record a tick; return whether it ends a pause, which restarts all timers."""
+        gap = now - self._last_tick
+        self._last_tick = now
+        if gap <= MAX_TICK_GAP_S:
             return False
-        self._doubt_until = now + DOUBT_S
+        self._recovery_end = now + RECOVERY_S
         for router in self._deadlines:
-            self._deadlines[router] = now + HEARSAY_FACTOR * suspicion_s(members)
+            self._deadlines[router] = (
+                now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(member_count)
+            )
         return True
 
     def record_reported_suspicion(
-        self, router: RouterName, members: int, now: float
+        self, router: RouterName, member_count: int, now: float
     ) -> None:
-        """Give a suspect its time to refute what others say."""
-        end = now + HEARSAY_FACTOR * suspicion_s(members)
-        self._deadlines.setdefault(router, end)
+        """Start the timer of a suspicion that another router reported."""
+        deadline = now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(member_count)
+        self._deadlines.setdefault(router, deadline)
 
     def record_own_suspicion(
-        self, router: RouterName, members: int, now: float
+        self, router: RouterName, member_count: int, now: float
     ) -> None:
-        """Give a suspect its time to refute what this router found itself."""
-        if router in self._accused:
+        """Start the timer and the reminders of a suspicion that this router raised."""
+        if router in self._own_suspicions:
             return
-        self._accused[router] = now
-        end = now + suspicion_s(members)
-        self._deadlines[router] = min(end, self._deadlines.get(router, end))
+        self._own_suspicions[router] = now
+        deadline = now + suspicion_timeout_s(member_count)
+        self._deadlines[router] = min(deadline, self._deadlines.get(router, deadline))
 
     def clear(self, router: RouterName) -> None:
-        """Stop the timer of a member that refuted, or that is dead."""
+        """Stop the timer of a member that refuted or is dead."""
         self._deadlines.pop(router, None)
-        self._accused.pop(router, None)
+        self._own_suspicions.pop(router, None)
 
     def expired_suspects(self, now: float) -> list[RouterName]:
         """Return the suspects that did not refute in time."""
         if self.recovering_from_pause(now):
             return []
-        return [router for router, end in self._deadlines.items() if now >= end]
+        return [
+            router for router, deadline in self._deadlines.items() if now >= deadline
+        ]
 
     def reminders(self, now: float) -> list[RouterName]:
-        """Return the suspects to be probed again now."""
-        due = [router for router, at in self._accused.items() if now >= at]
+        """Return the suspects that are due to be probed again."""
+        due = [
+            router for router, due_at in self._own_suspicions.items() if now >= due_at
+        ]
         for router in due:
-            self._accused[router] = now + REMIND_S
+            self._own_suspicions[router] = now + REMINDER_INTERVAL_S
         return due
 
 
-def suspicion_s(members: int) -> float:
-    """Return how long a suspect may refute among so many members, in seconds."""
-    return SUSPICION_S * max(1.0, math.log10(max(members, 1)))
+def suspicion_timeout_s(member_count: int) -> float:
+    """Return the time to refute a suspicion in seconds, by the number of members."""
+    return SUSPICION_TIMEOUT_S * max(1.0, math.log10(max(member_count, 1)))
--- a/packages/fulmarroad/src/fulmarroad/_versions.py
+++ b/packages/fulmarroad/src/fulmarroad/_versions.py
@@ -1,4 +1,4 @@
-"""Which table versions are in force where, as membership packets tell it."""
+"""Table versions in force at each router, as membership packets report them."""
 
 from __future__ import annotations
 
@@ -9,58 +9,63 @@
 
 
 class VersionTracker:
-    """Keep the version in force here and those heard of others.
+    """Hold the version in force here and those that other routers reported.
 
-    A packet carries the version that its sender has in force and not the highest that
-    it heard of, so that a router which hears of a newer one knows where to get it.
+    A packet carries the version in force at its sender and not the highest one that the
+    sender knows of. The receiver can therefore fetch a newer version from the sender.
     """
 
     def __init__(self) -> None:
         self._own = 0
-        self._heard: dict[RouterName, int] = {}
-        self._best: RouterName | None = None
+        self._reported: dict[RouterName, int] = {}
+        self._highest_source: RouterName | None = None
 
     @property
     def own(self) -> int:
-        """Return the version in force here; 0 before any."""
+        """Return the version in force here, or 0 if there is none yet."""
         return self._own
 
     @property
     def versions(self) -> Mapping[RouterName, int]:
-        """Return the version last heard of each router."""
-        return MappingProxyType(self._heard)
+        """Return the version that each router last reported."""
+        return MappingProxyType(self._reported)
 
     def raise_own(self, version: int) -> bool:
-        """Take a higher version over as one's own; return whether it was higher."""
+        """Set the own version if the given one is higher; return whether it was."""
         if version <= self._own:
             return False
         self._own = version
         return True
 
     def record_version(self, router: RouterName, version: int) -> None:
-        """Note what a router has in force; a restarted one may fall back to 0."""
-        self._heard[router] = version
-        if self._best == router or version > self._heard.get(self._best or "", -1):
-            self._best = router
+        """Record a router's version; after a restart it may be 0 again."""
+        self._reported[router] = version
+        if self._highest_source == router or version > self._reported.get(
+            self._highest_source or "", -1
+        ):
+            self._highest_source = router
 
     def forget(self, router: RouterName) -> None:
-        """Drop a router that is no member any more."""
-        self._heard.pop(router, None)
+        """Remove a router that is no longer a member."""
+        self._reported.pop(router, None)
 
     def highest(
         self, reachable: Callable[[RouterName], bool]
     ) -> tuple[int, RouterName]:
-        """Return the highest version heard of a reachable router, and that router.
+        """Return the highest version of the reachable routers, and one that has it.
 
-        The first one heard of is kept, which spreads the fetching as the news spreads.
-        Return `(0, "")` if nobody said anything.
+        The first router that reported it is kept as the source. Routers learn of a
+        version from different ones, so this spreads the load of the fetches. Return
+        `(0, "")` if no reachable router reported a version.
         """
-        best = self._best
-        if best is None or not self._is_highest(best) or not reachable(best):
-            rows = [router for router in self._heard if reachable(router)]
-            best = max(rows, key=lambda router: self._heard[router], default=None)
-            self._best = best
-        return (self._heard[best], best) if best else (0, "")
+        source = self._highest_source
+        if source is None or not self._is_highest(source) or not reachable(source):
+            candidates = [router for router in self._reported if reachable(router)]
+            source = max(
+                candidates, key=lambda router: self._reported[router], default=None
+            )
+            self._highest_source = source
+        return (self._reported[source], source) if source else (0, "")
 
     def _is_highest(self, router: RouterName) -> bool:
-        return self._heard.get(router, -1) >= max(self._heard.values())
+        return self._reported.get(router, -1) >= max(self._reported.values())
--- a/packages/fulmarroad/src/fulmarroad/_virtual_time.py
+++ b/packages/fulmarroad/src/fulmarroad/_virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer, for tests that must not wait."""
+"""Event loop whose clock jumps to the next timer, for tests without real waits."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Run callbacks in order and move the clock on only when nothing else is due.
+    """Advance the clock to the next timer only when no callback is ready to run.
 
-    A test of a timeout then takes no time and ends the same way on every machine.
-    It serves code without sockets and threads, which live by another clock.
+    A test of a timeout then takes no real time and is deterministic on every machine.
+    The loop does not support sockets and threads, which depend on real time.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
         super()._run_once()  # type: ignore[misc]
 
     def _drop_cancelled(self) -> None:
-        """Forget cancelled timers first, which would move the clock too far."""
+        """Remove cancelled timers, which would advance the clock too far."""
         timers = self._scheduled  # type: ignore[attr-defined]
         while timers and timers[0].cancelled():
             self._timer_cancelled_count -= 1  # type: ignore[attr-defined]
@@ -44,6 +44,6 @@
 
 
 def run_virtual(function: Callable[..., Awaitable[T]], *arguments: Any) -> T:
-    """Run an async function to its end in virtual time and return its result."""
+    """Run an async function in virtual time and return its result."""
     options = {"loop_factory": VirtualTimeLoop}
     return anyio.run(function, *arguments, backend_options=options)
--- a/packages/fulmarroad/src/fulmarroad/_vm_listing.py
+++ b/packages/fulmarroad/src/fulmarroad/_vm_listing.py
@@ -1,4 +1,4 @@
-"""The published VM list as TOML: `version`, then one `[[vm]]` for each VM."""
+"""Parser of the published VM list, TOML with `version` and one `[[vm]]` per VM."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from fulmarroad.exceptions import ConfigurationError
 
 MAX_VMS = 4096
-"""Ten times the fleet that is expected; a longer list is a wrong one."""
+"""Maximum number of VMs, ten times the expected fleet; a longer list is invalid."""
 
 
 class VmState(enum.StrEnum):
-    """Say what the platform plans for a VM."""
+    """State that the platform publishes for a VM."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
 
 @frozen
 class VmListing:
-    """Hold the published VM list of one version."""
+    """Hold one version of the published VM list."""
 
     version: int
     entries: tuple[VmEntry, ...]
@@ -53,7 +53,7 @@
 
 
 def parse_vm_list(raw: bytes) -> VmListing:
-    """Return the VM list of a TOML text.
+    """Parse the VM list from TOML.
 
     Raise `ConfigurationError` with every problem found. Version 0 without a row means
     that nothing has been published.
@@ -70,7 +70,7 @@
         raise ConfigurationError(
             "The VM list is not valid.",
             problems=tuple(problems),
-            hint="The last good list stays; correct the published one.",
+            hint="The last valid list stays in use; correct the published one.",
         )
     return VmListing(version, tuple(_entry(row) for row in rows))
 
@@ -101,13 +101,13 @@
     if len(rows) > MAX_VMS:
         problems.append(f"vms: vm: must be at most {MAX_VMS}; are {len(rows)}")
         return []
-    found: list[_VmRow] = []
+    parsed_rows: list[_VmRow] = []
     for index, row in enumerate(rows, 1):
         parsed = _read_row(index, row, problems)
         if parsed is not None:
-            found.append(parsed)
-    problems += _duplicates(found)
-    return found
+            parsed_rows.append(parsed)
+    problems += _duplicates(parsed_rows)
+    return parsed_rows
 
 
 def _read_row(index: int, row: Any, problems: list[str]) -> _VmRow | None:
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -1,4 +1,4 @@
-"""The published VM list: a hint to the membership, and the basis of ownership."""
+"""Published VM list: a hint for the membership, and the basis of ownership."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class VmEntry:
-    """Describe one VM as the platform publishes it."""
+    """Describe a VM as published by the platform."""
 
     router: RouterName
     data_centre: DataCentreName
@@ -22,15 +22,16 @@
 
 
 class VmList:
-    """Keep the last usable list and say what may be concluded from it.
-
-    The list lags. What goes wrong if it were believed: a VM that the list dropped too
-    early would lose its running work, one that it still names would be given shards
-    that nobody schedules. One would notice callers waiting on a VM that is long gone.
-    So a VM missing from the list is not dead, one in the list is not live before it
-    answers, and only two things are taken from it: whom to probe, and that a VM marked
-    leaving gets no new role. Units and key groups go by the list and not by liveness,
-    since the two sides of a split see the same list but not the same VMs.
+    """Hold the last usable VM list.
+
+    The list is often outdated and does not decide which VMs are live. Otherwise a VM
+    that it dropped too early would lose its running work, and a removed VM that it
+    still names would get shards that no router schedules, with callers waiting on it.
+    So a VM missing from the list is not dead, and a listed VM is not live before it
+    answers. Membership takes only two facts from the list: which VMs to probe, and that
+    a VM marked leaving gets no new role. Units and key groups are assigned by the list
+    and not by liveness, since the two sides of a partition see the same list but not
+    the same live VMs.
     """
 
     def __init__(self) -> None:
@@ -38,19 +39,19 @@
 
     @property
     def entries(self) -> Collection[VmEntry]:
-        """Return the entries of the list in force."""
+        """Return the entries of the current list."""
         return self._entries.values()
 
-    def offer(self, entries: Collection[VmEntry]) -> bool:
-        """Take a new list over; return whether anything changed.
+    def replace(self, entries: Collection[VmEntry]) -> bool:
+        """Replace the list; return whether anything changed.
 
-        An empty list is not believed: the reader itself is a VM, so that the platform
-        must be wrong, and with it every unit and key group would lose its owners.
+        An empty list is ignored. It must be wrong, as this router is itself a VM, and
+        it would leave every unit and key group without owners.
         """
-        offered = {entry.router: entry for entry in entries}
-        if not offered or offered == self._entries:
+        new_entries = {entry.router: entry for entry in entries}
+        if not new_entries or new_entries == self._entries:
             return False
-        self._entries = offered
+        self._entries = new_entries
         return True
 
     def get(self, router: RouterName) -> VmEntry | None:
@@ -60,7 +61,7 @@
     def published(
         self, data_centre: DataCentreName | None = None
     ) -> tuple[RouterName, ...]:
-        """Return the VMs of a data centre, leaving ones too, as owners go by them."""
+        """Return the VMs of a data centre; leaving ones are owners too."""
         return tuple(
             sorted(
                 entry.router
@@ -70,7 +71,7 @@
         )
 
     def data_centres(self) -> tuple[DataCentreName, ...]:
-        """Return the data centres that have VMs."""
+        """Return the names of the data centres that have VMs."""
         return tuple(sorted({entry.data_centre for entry in self.entries}))
 
     def is_leaving(self, router: RouterName) -> bool:
--- a/packages/fulmarroad/src/fulmarroad/datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/datagrams.py
@@ -1,4 +1,4 @@
-"""Packets between routers, over UDP."""
+"""UDP packets between routers."""
 
 from fulmarroad._datagrams import MAX_PACKETS_PER_TURN, PacketSocket
 
--- a/packages/fulmarroad/src/fulmarroad/membership.py
+++ b/packages/fulmarroad/src/fulmarroad/membership.py
@@ -1,4 +1,4 @@
-"""Who is in the fleet: probes, gossip, and the VM list as a hint."""
+"""Fleet membership by probes and gossip, with the VM list as a hint."""
 
 from fulmarroad._gossip import Gossip, HigherVersionReported, PacketSeal
 from fulmarroad._members import Member, MemberChange
--- a/packages/fulmarroad/src/fulmarroad/testing.py
+++ b/packages/fulmarroad/src/fulmarroad/testing.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of code that embeds the library."""
+"""Test helpers for code that embeds the library."""
 
 from fulmarroad._memory_network import MemoryNetwork, MemoryStream
 from fulmarroad._virtual_time import VirtualTimeLoop, run_virtual
