--- a/packages/fulmarroad/src/fulmarroad/_datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/_datagrams.py
@@ -59,7 +59,9 @@
             sock.bind(self._address)
         except OSError as error:
             sock.close()
-            raise TransportError(f"Cannot bind UDP port {port} on {host}.") from error
+            raise TransportError(
+                f"UDP port {port} on {host} can't be bound."
+            ) from error
         asyncio.get_running_loop().add_reader(sock, self._read)
         self._socket = sock
         return self
--- a/packages/fulmarroad/src/fulmarroad/_gossip.py
+++ b/packages/fulmarroad/src/fulmarroad/_gossip.py
@@ -29,7 +29,10 @@
 logger = logging.getLogger("fulmarroad.membership")
 
 TAG_BYTES = 16
-"""Length of the truncated HMAC-SHA256 tag; half of it is infeasible to guess online."""
+"""Length of a packet's tag in bytes, half of an HMAC-SHA256.
+
+It is too long to guess by sending packets.
+"""
 
 REJECTED_LOG_INTERVAL_S = 10.0
 """Minimum time between two log lines on rejected packets, in seconds.
--- a/packages/fulmarroad/src/fulmarroad/_members.py
+++ b/packages/fulmarroad/src/fulmarroad/_members.py
@@ -10,7 +10,7 @@
 from fulmarroad._messages import MemberUpdate
 from fulmarroad.types import DataCentreName, MemberState, RouterName
 
-FORGET_S = 7200.0
+DEAD_MEMBER_TTL_S = 7200.0
 """How long a dead member is kept and probed occasionally, in seconds.
 
 Regions are sometimes cut off from each other for an hour. Both sides must still know
@@ -18,7 +18,7 @@
 800 VMs replaced per day, about 70 dead members are kept.
 """
 
-TOMBSTONE_S = 86400.0
+TOMBSTONE_TTL_S = 86400.0
 """How long a tombstone of a removed member is kept, in seconds.
 
 A process that resumes after hours may still spread updates that say the member is
@@ -28,7 +28,7 @@
 MAX_NAME_BYTES = 64
 """Maximum length of a name or host, which bounds the size of a packet."""
 
-# Within one incarnation the state with the higher rank wins.
+# Within one incarnation a state is replaced only by one of a higher rank.
 _RANK = {
     MemberState.ALIVE: 0,
     MemberState.SUSPECT: 1,
@@ -118,19 +118,20 @@
         self._record_merge(known, member, cause)
         return member
 
-    def forget(self, now: float) -> list[RouterName]:
-        """Remove members dead for `FORGET_S` and return their names."""
-        expired = [
+    def remove_expired(self, now: float) -> list[RouterName]:
+        """Remove members dead for `DEAD_MEMBER_TTL_S` and return their names."""
+        old = [
             member
             for member in self._members.values()
-            if member.state is MemberState.DEAD and now - member.since >= FORGET_S
+            if member.state is MemberState.DEAD
+            and now - member.since >= DEAD_MEMBER_TTL_S
         ]
-        for member in expired:
+        for member in old:
             self._tombstones[member.router] = self._members.pop(member.router)
         for member in list(self._tombstones.values()):
-            if now - member.since >= TOMBSTONE_S:
+            if now - member.since >= TOMBSTONE_TTL_S:
                 del self._tombstones[member.router]
-        return [member.router for member in expired]
+        return [member.router for member in old]
 
     def changes(self) -> list[MemberChange]:
         """Return the changes since the last call."""
--- a/packages/fulmarroad/src/fulmarroad/_memory_network.py
+++ b/packages/fulmarroad/src/fulmarroad/_memory_network.py
@@ -23,7 +23,7 @@
 class _OpenStream:
     """Hold the endpoints of an open stream and the scope that cancels it."""
 
-    endpoints: frozenset[RouterName]
+    ends: frozenset[RouterName]
     scope: anyio.CancelScope
 
 
@@ -50,13 +50,13 @@
     def drop(self, router: RouterName) -> None:
         """Remove a router and break its streams."""
         self._handlers.pop(router, None)
-        self._break_streams(lambda endpoints: router in endpoints)
+        self._break_streams(lambda ends: router in ends)
 
     def cut(self, one: RouterName, other: RouterName) -> None:
         """Break the streams between two routers and prevent new ones."""
         pair = frozenset((one, other))
         self._cuts.add(pair)
-        self._break_streams(lambda endpoints: endpoints == pair)
+        self._break_streams(lambda ends: ends == pair)
 
     def heal(self) -> None:
         """Remove every cut."""
@@ -76,14 +76,14 @@
 
     def _break_streams(self, affected: Callable[[frozenset[RouterName]], bool]) -> None:
         for stream in list(self._streams.values()):
-            if affected(stream.endpoints):
+            if affected(stream.ends):
                 stream.scope.cancel()
 
     async def _connect(self, me: RouterName, peer: RouterName) -> PeerHandler:
         await anyio.sleep(self.delay_s)
         if frozenset((me, peer)) in self._cuts:
             await anyio.sleep(CONNECT_TIMEOUT_S)
-            raise TransportError(f"Router {peer} is unreachable.")
+            raise TransportError(f"Router {peer} can't be reached.")
         handler = self._handlers.get(peer)
         if handler is None or me not in self._handlers:
             raise TransportError(f"Router {peer} refused the connection.")
@@ -116,11 +116,11 @@
         answers = Outbox(TrafficCount())
         handle = handler.on_attached(self._me, answers.put)
         on_up()
-        stream_id = next(network._ids)
+        number = next(network._ids)
         try:
             async with anyio.create_task_group() as group:
-                endpoints = frozenset((self._me, self._peer))
-                network._streams[stream_id] = _OpenStream(endpoints, group.cancel_scope)
+                ends = frozenset((self._me, self._peer))
+                network._streams[number] = _OpenStream(ends, group.cancel_scope)
 
                 def deliver_to_peer(message: Any) -> None:
                     handler.on_message(self._me, message)
@@ -132,7 +132,7 @@
                     self._forward_frames, answers, on_message, group.cancel_scope
                 )
         finally:
-            del network._streams[stream_id]
+            del network._streams[number]
             handler.on_detached(self._me, handle)
         raise TransportError(f"The stream to router {self._peer} ended.")
 
--- a/packages/fulmarroad/src/fulmarroad/_packets.py
+++ b/packages/fulmarroad/src/fulmarroad/_packets.py
@@ -35,11 +35,11 @@
 
     def __init__(
         self,
-        view: MembershipView,
+        beliefs: MembershipView,
         version_tracker: VersionTracker,
         rng: random.Random,
     ) -> None:
-        self._view = view
+        self._view = beliefs
         self._version_tracker = version_tracker
         self._rng = rng
         self._sequence = 0
@@ -73,18 +73,18 @@
         )
         return self._outgoing(router, ping)
 
-    def ping_request(
+    def request(
         self, relay: RouterName, target: RouterName, sequence: int
     ) -> list[Outgoing]:
         """Ask another member to probe a target."""
-        ping_request = PingRequest(
+        request = PingRequest(
             sequence,
             self._view.me.router,
             target,
             self._version_tracker.own,
             self._view.updates_for(relay),
         )
-        return self._outgoing(relay, ping_request)
+        return self._outgoing(relay, request)
 
     def ack(
         self, router: RouterName, sequence: int, target: RouterName, incarnation: int
--- a/packages/fulmarroad/src/fulmarroad/_pages.py
+++ b/packages/fulmarroad/src/fulmarroad/_pages.py
@@ -23,9 +23,9 @@
     """
 
     def __init__(
-        self, view: MembershipView, packets: PacketBuilder, now: float
+        self, beliefs: MembershipView, packets: PacketBuilder, now: float
     ) -> None:
-        self._view = view
+        self._view = beliefs
         self._packets = packets
         self._awaited_sequence = 0  # of the last page request
         self._complete = False
--- a/packages/fulmarroad/src/fulmarroad/_piggyback.py
+++ b/packages/fulmarroad/src/fulmarroad/_piggyback.py
@@ -50,9 +50,9 @@
     return tuple(chosen.values())
 
 
-def retransmit_limit(member_count: int) -> int:
+def retransmit_limit(members: int) -> int:
     """Return how often a router sends an update, by the number of members."""
-    return RETRANSMIT_FACTOR * math.ceil(math.log2(member_count + 1))
+    return RETRANSMIT_FACTOR * math.ceil(math.log2(members + 1))
 
 
 @define
@@ -78,7 +78,7 @@
     def take_for_packet(
         self,
         first: list[MemberUpdate],
-        member_count: int,
+        members: int,
         free_bytes: int = MAX_UPDATE_BYTES,
     ) -> tuple[MemberUpdate, ...]:
         """Return the updates for one packet: `first`, then queued ones that fit."""
@@ -86,7 +86,7 @@
         queued_updates = [queued.update for queued in ordered]
         chosen = fit_updates(first + queued_updates, free_bytes)
         for update in chosen:
-            self._count_sent(update, retransmit_limit(member_count))
+            self._count_sent(update, retransmit_limit(members))
         return chosen
 
     def _count_sent(self, update: MemberUpdate, limit: int) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_suspicion.py
+++ b/packages/fulmarroad/src/fulmarroad/_suspicion.py
@@ -56,7 +56,7 @@
         """Tell whether this process has just resumed from a pause."""
         return now < self._recovery_end
 
-    def detect_pause(self, now: float, member_count: int) -> bool:
+    def detect_pause(self, now: float, members: int) -> bool:
         """Record a tick; return whether it ends a pause, which restarts all timers."""
         gap = now - self._last_tick
         self._last_tick = now
@@ -65,26 +65,26 @@
         self._recovery_end = now + RECOVERY_S
         for router in self._deadlines:
             self._deadlines[router] = (
-                now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(member_count)
+                now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(members)
             )
         return True
 
     def record_reported_suspicion(
-        self, router: RouterName, member_count: int, now: float
+        self, router: RouterName, members: int, now: float
     ) -> None:
         """Start the timer of a suspicion that another router reported."""
-        deadline = now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(member_count)
-        self._deadlines.setdefault(router, deadline)
+        end = now + REPORTED_SUSPICION_FACTOR * suspicion_timeout_s(members)
+        self._deadlines.setdefault(router, end)
 
     def record_own_suspicion(
-        self, router: RouterName, member_count: int, now: float
+        self, router: RouterName, members: int, now: float
     ) -> None:
         """Start the timer and the reminders of a suspicion that this router raised."""
         if router in self._own_suspicions:
             return
         self._own_suspicions[router] = now
-        deadline = now + suspicion_timeout_s(member_count)
-        self._deadlines[router] = min(deadline, self._deadlines.get(router, deadline))
+        end = now + suspicion_timeout_s(members)
+        self._deadlines[router] = min(end, self._deadlines.get(router, end))
 
     def clear(self, router: RouterName) -> None:
         """Stop the timer of a member that refuted or is dead."""
@@ -95,20 +95,16 @@
         """Return the suspects that did not refute in time."""
         if self.recovering_from_pause(now):
             return []
-        return [
-            router for router, deadline in self._deadlines.items() if now >= deadline
-        ]
+        return [router for router, end in self._deadlines.items() if now >= end]
 
     def reminders(self, now: float) -> list[RouterName]:
         """Return the suspects that are due to be probed again."""
-        due = [
-            router for router, due_at in self._own_suspicions.items() if now >= due_at
-        ]
+        due = [router for router, at in self._own_suspicions.items() if now >= at]
         for router in due:
             self._own_suspicions[router] = now + REMINDER_INTERVAL_S
         return due
 
 
-def suspicion_timeout_s(member_count: int) -> float:
+def suspicion_timeout_s(members: int) -> float:
     """Return the time to refute a suspicion in seconds, by the number of members."""
-    return SUSPICION_TIMEOUT_S * max(1.0, math.log10(max(member_count, 1)))
+    return SUSPICION_TIMEOUT_S * max(1.0, math.log10(max(members, 1)))
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -42,7 +42,7 @@
 """
 
 PROBE_TIMEOUT_S = 0.3
-"""Timeout of a direct probe in seconds: 100 round trips between data centres."""
+"""Timeout of a direct probe in seconds, a hundred round trips between data centres."""
 
 PROBE_DEADLINE_S = 0.6
 """Time from a probe until its target is suspected, in seconds.
@@ -141,7 +141,7 @@
     def versions(self) -> Mapping[RouterName, int]:
         """Return the table version that each router last reported.
 
-        The version now in force there may be higher.
+        The version in force there now may differ.
         """
         return self._version_tracker.versions
 
@@ -223,8 +223,8 @@
     def _begin_period(self, now: float) -> list[Outgoing]:
         self._next_period = now + PROBE_PERIOD_S * self._rng.uniform(0.9, 1.1)
         self._relays.expire(now)
-        for router in self._view.table.forget(now):
-            self._version_tracker.forget(router)
+        for router in self._view.table.remove_expired(now):
+            self._version_tracker.remove(router)
         others = self._view.others()
         target = self._order.next(others)
         if target is not None and not self._pending_probes:
@@ -258,7 +258,7 @@
         for relay in self._packets.sample_members(
             INDIRECT_PROBES, exclude=probe.target
         ):
-            out += self._packets.ping_request(relay, probe.target, probe.sequence)
+            out += self._packets.request(relay, probe.target, probe.sequence)
         return out
 
     def _suspect(self, router: RouterName, now: float) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_versions.py
+++ b/packages/fulmarroad/src/fulmarroad/_versions.py
@@ -45,7 +45,7 @@
         ):
             self._highest_source = router
 
-    def forget(self, router: RouterName) -> None:
+    def remove(self, router: RouterName) -> None:
         """Remove a router that is no longer a member."""
         self._reported.pop(router, None)
 
@@ -60,10 +60,8 @@
         """
         source = self._highest_source
         if source is None or not self._is_highest(source) or not reachable(source):
-            candidates = [router for router in self._reported if reachable(router)]
-            source = max(
-                candidates, key=lambda router: self._reported[router], default=None
-            )
+            rows = [router for router in self._reported if reachable(router)]
+            source = max(rows, key=lambda router: self._reported[router], default=None)
             self._highest_source = source
         return (self._reported[source], source) if source else (0, "")
 
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -24,7 +24,7 @@
 class VmList:
     """Hold the last usable VM list.
 
-    The list is often outdated and does not decide which VMs are live. Otherwise a VM
+    The list may be outdated and does not decide which VMs are live. Otherwise a VM
     that it dropped too early would lose its running work, and a removed VM that it
     still names would get shards that no router schedules, with callers waiting on it.
     So a VM missing from the list is not dead, and a listed VM is not live before it
--- a/packages/fulmarroad/tests/test_datagrams.py
+++ b/packages/fulmarroad/tests/test_datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket of routers, on loopback."""
+"""UDP socket of routers, on loopback."""
 
 import socket
 
@@ -21,22 +21,22 @@
             sender.sendto(packet, (HOST, port))
 
 
-class Flood:
-    """A socket in which a packet always waits."""
+class FloodedSocket:
+    """A socket that always has a packet to read."""
 
     def recvfrom(self, size):
         return b"x", (HOST, 1)
 
 
-class Unreachable:
-    """A socket that has an error in place of a packet."""
+class FailingSocket:
+    """A socket whose reads fail."""
 
     def recvfrom(self, size):
         raise OSError("unreachable")
 
 
 class TestPacketSocket:
-    def test_packets_come_whole_with_the_host_that_sent_them(self):
+    def test_packets_arrive_unchanged_with_the_sender_host(self):
         got = []
 
         async def test():
@@ -51,23 +51,23 @@
         assert [data for data, _ in got] == [b"own", b"", b"x" * 9_000]
         assert got[0][1] == HOST
 
-    def test_a_flood_leaves_the_loop_its_time(self):
-        """Anyone who reaches the port can send packets as fast as they like. Read until
-        none waits, they would keep the router from its callers for as long.
+    def test_reads_a_limited_number_of_packets_per_iteration(self):
+        """Anyone who reaches the port can send packets at any rate. If each iteration
+        emptied the socket, the router could not serve its callers during a flood.
         """
         got = []
 
         async def test():
             with open_socket(lambda *row: got.append(row)) as packets:
-                own = packets._socket
-                packets._socket = Flood()
+                real_socket = packets._socket
+                packets._socket = FloodedSocket()
                 packets._read()
-                packets._socket = own
+                packets._socket = real_socket
 
         anyio.run(test)
         assert len(got) == MAX_PACKETS_PER_TURN
 
-    def test_a_port_in_use_is_told(self):
+    def test_binding_a_port_in_use_raises_transport_error(self):
         async def test():
             with open_socket() as first:
                 port = first.port
@@ -79,25 +79,25 @@
 
         anyio.run(test)
 
-    def test_a_packet_that_cannot_go_is_told_to_its_sender(self):
+    def test_sending_an_oversized_packet_raises_os_error(self):
         async def test():
             with open_socket() as packets, pytest.raises(OSError):
                 packets.send(b"x" * 70_000, HOST, packets.port)
 
         anyio.run(test)
 
-    def test_a_failed_read_is_told_and_ends_nothing(self):
-        """An earlier packet's host is gone, and the kernel says so in place of the next
-        packet. A router that stops reading then hears of no peer any more.
+    def test_failed_read_is_reported_and_reading_continues(self):
+        """If the host of an earlier packet is unreachable, the kernel reports it as an
+        error of the next read. Without further reads the router receives no packets.
         """
         failures = []
 
         async def test():
             with open_socket(on_failure=failures.append) as packets:
-                own = packets._socket
-                packets._socket = Unreachable()
+                real_socket = packets._socket
+                packets._socket = FailingSocket()
                 packets._read()
-                packets._socket = own
+                packets._socket = real_socket
 
         anyio.run(test)
         assert [str(row) for row in failures] == ["unreachable"]
--- a/packages/fulmarroad/tests/test_gossip.py
+++ b/packages/fulmarroad/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The membership's task on loopback: real sockets, waits on events only."""
+"""Membership task on loopback, with real sockets and without fixed waits."""
 
 import logging
 import socket
@@ -15,12 +15,12 @@
 from fulmarroad.types import MemberState
 
 SECRET = b"a secret of the cluster"
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 HOST = "127.0.0.1"
 
 
 class Node:
-    """Run one task with a state machine that knows its port."""
+    """Hold a router's membership task for a given port."""
 
     def __init__(self, name, port, secret=SECRET, cut=lambda router: False):
         self.name = name
@@ -46,7 +46,7 @@
 
 
 async def start(group, *nodes):
-    """Start all; return the scope in which the last one runs."""
+    """Start all nodes; return the cancel scope of the last one."""
     entries = [VmEntry(node.name, "fes-1", HOST, 1, node.port) for node in nodes]
     scopes = [anyio.CancelScope() for _ in nodes]
 
@@ -62,15 +62,15 @@
 
 def run(test):
     async def bounded():
-        with anyio.fail_after(PATIENCE_S):
+        with anyio.fail_after(TEST_TIMEOUT_S):
             await test()
 
     anyio.run(bounded)
 
 
 class TestGossip:
-    def test_routers_meet_leave_and_die(self):
-        # Three routers start; one is drained, one is lost with no word.
+    def test_routers_join_leave_and_fail(self):
+        # Three routers start. One is drained, another stops without announcing it.
         async def test():
             ports = await free_ports(3)
             nodes = [Node(f"r{i}", port) for i, port in enumerate(ports)]
@@ -89,21 +89,22 @@
 
         run(test)
 
-    def test_a_table_version_is_told_at_once(self):
+    def test_table_version_is_announced_to_other_routers(self):
         async def test():
             nodes = [Node(f"r{i}", p) for i, p in enumerate(await free_ports(2))]
             async with anyio.create_task_group() as group:
                 await start(group, *nodes)
                 await nodes[0].wait_for("r1", MemberState.ALIVE)
                 await nodes[0].gossip.announce_version(7)
-                heard = await nodes[1].gossip.versions.receive()
-                assert (heard.version, heard.router) == (7, "r0")
+                reported = await nodes[1].gossip.versions.receive()
+                assert (reported.version, reported.router) == (7, "r0")
                 group.cancel_scope.cancel()
 
         run(test)
 
-    def test_a_cut_router_is_lost_on_both_sides(self):
-        # An experiment splits the fleet. What would go on over UDP would spoil it.
+    def test_cut_routers_declare_each_other_dead(self):
+        # `cut` simulates a partition. UDP packets that still pass would invalidate the
+        # simulation.
         async def test():
             cut = set()
             nodes = [
@@ -123,8 +124,8 @@
 
         run(test)
 
-    def test_strange_packets_change_nothing_and_are_logged_once(self, caplog):
-        # Anyone who reaches the port can send packets, at any rate, with any sender.
+    def test_invalid_packets_are_ignored_and_logged_once(self, caplog):
+        # Anyone who reaches the port can send packets at any rate, with forged senders.
         async def test():
             [port] = await free_ports(1)
             node = Node("r0", port)
@@ -135,12 +136,12 @@
             forged = PacketSeal(b"another secret").seal(ping)
             async with anyio.create_task_group() as group:
                 await start(group, node)
-                stranger = await anyio.create_udp_socket(local_host=HOST)
+                sender = await anyio.create_udp_socket(local_host=HOST)
                 for packet in [b"", b"x", forged, forged, forged]:
-                    await stranger.sendto(packet, HOST, port)
-                await stranger.sendto(PacketSeal(SECRET).seal(ping), HOST, port)
+                    await sender.sendto(packet, HOST, port)
+                await sender.sendto(PacketSeal(SECRET).seal(ping), HOST, port)
                 await node.wait_for("r9", MemberState.ALIVE)
-                await stranger.aclose()
+                await sender.aclose()
                 group.cancel_scope.cancel()
 
         with caplog.at_level(logging.WARNING, "fulmarroad.membership"):
@@ -149,8 +150,8 @@
         assert numbers.count(Event.GOSSIP_REJECTED.value.number) == 1
 
 
-class CountPackets:
-    """Metrics that count the packets received."""
+class PacketCountMetrics:
+    """Metrics that count received packets."""
 
     def __init__(self):
         self.packets = 0
@@ -160,29 +161,29 @@
 
 
 class TestBusyLoop:
-    def test_packets_that_wait_are_read_in_few_turns(self):
-        """A router's processor is used up, and a turn of its loop takes a tenth of a
-        second. Probes wait behind each other, one a turn; answered too late, they make
-        others take this router for lost while it serves its callers.
+    def test_queued_packets_are_read_in_few_loop_iterations(self):
+        """On a saturated processor, one iteration of the event loop takes a tenth of a
+        second. If it reads one packet only, probes queue up and are answered too late:
+        other routers declare this one dead although it serves its callers.
         """
         waiting = 40
 
         async def test():
             [port] = await free_ports(1)
             node = Node("r0", port)
-            node.gossip._metrics = counted = CountPackets()
+            node.gossip._metrics = metrics = PacketCountMetrics()
             async with anyio.create_task_group() as group:
                 await start(group, node)
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                     for _ in range(waiting):
                         sender.sendto(b"x", (HOST, port))
-                turns = 0
-                while counted.packets < waiting:
-                    assert turns < 10 * waiting
-                    turns += 1
+                iterations = 0
+                while metrics.packets < waiting:
+                    assert iterations < 10 * waiting
+                    iterations += 1
                     await anyio.sleep(0)
                 group.cancel_scope.cancel()
-            assert turns < waiting / 3
+            assert iterations < waiting / 3
 
         run(test)
 
@@ -190,7 +191,7 @@
 class TestPacketSeal:
     PING = messages.Ping(1, "r9", 1, 0, (), "r0")
 
-    def test_round_trip(self):
+    def test_open_returns_the_sealed_message(self):
         seal = PacketSeal(SECRET)
         assert seal.open(seal.seal(self.PING)) == self.PING
 
@@ -201,7 +202,7 @@
         with pytest.raises(MessageError, match="tag"):
             PacketSeal(SECRET).open(bytes(packet))
 
-    def test_rejects_other_messages(self):
+    def test_rejects_messages_of_other_kinds(self):
         seal = PacketSeal(SECRET)
         with pytest.raises(MessageError, match="no membership"):
             seal.open(seal.seal(messages.TablesWanted(1)))
--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership finds out who lives, and takes nobody who lives for dead."""
+"""Membership detects failed VMs and declares no running VM dead."""
 
 import heapq
 import random
@@ -30,9 +30,9 @@
 
 
 class Fleet:
-    """Pass messages between state machines in virtual time."""
+    """Exchange messages between state machines in virtual time."""
 
-    def __init__(self, count, seed=1, loss=0.0, acquainted=True):
+    def __init__(self, count, seed=1, loss=0.0, knows_members=True):
         self.now = 0.0
         self.rng = random.Random(seed)
         self.loss = loss
@@ -50,10 +50,10 @@
         self.entries = [entry(name) for name in self.names]
         for name in self.names:
             self.start(name)
-        if acquainted:
-            everyone = page(*(update(name) for name in self.names))
+        if knows_members:
+            all_members = page(*(update(name) for name in self.names))
             for swim in self.swims.values():
-                swim.handle(everyone, self.now)
+                swim.handle(all_members, self.now)
                 swim.changes()
 
     def start(self, name, incarnation=1):
@@ -91,16 +91,16 @@
             self.on_change(row.router)
 
     def run(self, seconds=60.0, until=lambda: False):
-        """Run until a condition holds or the time is over; return the seconds run."""
-        begin, look = self.now, self.now
-        while self.queue[0][0] <= begin + seconds:
-            if self.now >= look:
-                look = self.now + TICK_S
+        """Run until a condition holds or `seconds` are over; return the seconds run."""
+        started, next_check = self.now, self.now
+        while self.queue[0][0] <= started + seconds:
+            if self.now >= next_check:
+                next_check = self.now + TICK_S
                 if until():
                     break
             self.now, _, call, args = heapq.heappop(self.queue)
             call(*args)
-        return self.now - begin
+        return self.now - started
 
     def all_see(self, subject, state):
         watching = set(self.names) - {subject} - self.stopped
@@ -118,16 +118,16 @@
 class TestFailure:
     @pytest.mark.parametrize("count", [2, 3, 5, 9])
     @pytest.mark.parametrize("seed", range(5))
-    def test_a_lost_vm_is_dead_to_all_within_seconds(self, count, seed):
-        # A VM loses its power. Until the others notice, callers wait for schedulers
-        # that it held.
+    def test_failed_vm_is_declared_dead_by_all_within_seconds(self, count, seed):
+        # A VM loses power. Callers wait for the schedulers on it until the other
+        # members detect the failure.
         fleet = Fleet(count, seed)
         fleet.run(5 + seed / 5)
         fleet.stopped.add("r1")
         assert fleet.run(until=lambda: fleet.all_see("r1", DEAD)) < 6
 
-    def test_a_broken_link_is_found_in_under_two_seconds(self):
-        # A scheduler's VM dies and its followers see their streams break at once.
+    def test_vm_with_broken_link_is_declared_dead_in_about_two_seconds(self):
+        # A scheduler's VM fails and the streams of its followers break at once.
         fleet = Fleet(9)
         fleet.run(5)
         fleet.stopped.add("r1")
@@ -137,22 +137,22 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_lost_packets_kill_nobody(self, seed):
-        # A tenth of all packets is lost for two minutes. A VM that counts as dead loses
-        # its schedulers, which rebuild elsewhere while callers wait.
+        # A tenth of all packets is lost for two minutes. A VM that is declared dead
+        # loses its schedulers, which are rebuilt on other VMs while callers wait.
         fleet = Fleet(9, seed, loss=0.1)
         fleet.run(120)
         assert fleet.deaths() == []
         assert fleet.all_live() or fleet.run(5, fleet.all_live) < 5
 
-    def test_one_broken_path_accuses_nobody(self):
-        # Two VMs cannot reach each other while all others reach both.
+    def test_one_broken_path_causes_no_suspicion(self):
+        # Two VMs cannot reach each other, but all other VMs reach both.
         fleet = Fleet(5)
         fleet.cut = lambda one, other: {one, other} == {"r1", "r2"}
         fleet.run(60)
         assert fleet.changes == []
 
-    def test_a_leaving_vm_gets_no_roles_and_never_returns_to_alive(self):
-        # A VM is drained, refuses to die at once, and then is gone.
+    def test_leaving_vm_gets_no_roles_and_never_becomes_alive_again(self):
+        # A drained VM keeps running for a while before it stops.
         fleet = Fleet(9)
         fleet.run(5)
         fleet.post("r1", fleet.swims["r1"].leave(fleet.now))
@@ -167,24 +167,26 @@
 
 
 class TestReturn:
-    def test_a_paused_process_accuses_nobody_when_it_wakes(self):
-        # A VM is frozen for ten seconds in the middle of a probe. It wakes with every
-        # timer run out, and must not take the whole fleet's roles away.
+    def test_resumed_process_suspects_no_member(self):
+        # A VM is frozen for ten seconds during a probe and resumes with all timers
+        # expired. It must not declare the other VMs dead, which would cost them their
+        # roles.
         fleet = Fleet(9)
         fleet.run(5.3)
         fleet.stopped.add("r1")
         fleet.run(10)
         assert fleet.all_see("r1", DEAD)
         fleet.stopped.clear()
-        woke = len(fleet.changes)
+        changes_before_resume = len(fleet.changes)
         assert fleet.run(until=fleet.all_live) < 5
         fleet.run(10)
-        accused = {row.router for _, row in fleet.changes[woke:]}
-        assert accused == {"r1"}
+        changed = {row.router for _, row in fleet.changes[changes_before_resume:]}
+        assert changed == {"r1"}
         assert fleet.swims["r1"].me.incarnation == 2
 
-    def test_a_probe_open_before_a_pause_accuses_nobody(self):
-        # A process stops right after it sent a probe; the answer waits in its socket.
+    def test_probe_sent_before_a_pause_causes_no_suspicion(self):
+        # A process pauses right after sending a probe. The answer is still in its
+        # socket's buffer when it resumes.
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("r1")), 0.0)
         probes = [row.message for row in swim.tick(0.0)]
@@ -194,8 +196,8 @@
         assert swim.recovering_from_pause(10.0)
         assert swim.changes() == []
 
-    def test_a_restarted_vm_knows_all_within_seconds(self):
-        # A VM is replaced under the same name and remembers nothing.
+    def test_restarted_vm_knows_all_members_within_seconds(self):
+        # A VM is replaced under the same name, without any stored state.
         fleet = Fleet(24)
         fleet.run(5)
         fleet.start("r1", incarnation=2)
@@ -203,12 +205,12 @@
         assert fleet.swims["r1"].joined(fleet.now)
         assert fleet.run(until=lambda: fleet.all_see("r1", ALIVE)) < 2
 
-    def test_a_whole_fleet_that_starts_at_once_finds_itself(self):
-        fleet = Fleet(40, acquainted=False)
+    def test_routers_that_start_together_find_each_other(self):
+        fleet = Fleet(40, knows_members=False)
         assert fleet.run(until=fleet.all_live) < 5
 
-    def test_a_router_alone_does_not_wait_for_ever(self):
-        fleet = Fleet(3, acquainted=False)
+    def test_single_router_joins_after_a_timeout(self):
+        fleet = Fleet(3, knows_members=False)
         fleet.stopped = {"r1", "r2"}
         fleet.run(2)
         assert not fleet.swims["r0"].joined(fleet.now)
@@ -217,9 +219,9 @@
         assert fleet.swims["r0"].live() == ("r0",)
 
     @pytest.mark.parametrize(("count", "length"), [(2, 20), (9, 60), (9, 600)])
-    def test_halves_find_each_other_after_a_partition(self, count, length):
-        # Two halves cannot reach each other for some time, count each other dead, and
-        # the network comes back while the VM list stays silent.
+    def test_halves_rejoin_after_a_partition(self, count, length):
+        # During a partition both halves declare each other dead. When the network
+        # recovers, the VM list is unavailable.
         fleet = Fleet(count)
         half = set(fleet.names[: count // 2])
         fleet.cut = lambda one, other: (one in half) != (other in half)
@@ -228,8 +230,8 @@
         fleet.cut = lambda one, other: False
         assert fleet.run(until=fleet.all_live) < 15
 
-    def test_old_gossip_raises_no_dead(self):
-        # A process wakes after hours and still spreads that a replaced VM lives.
+    def test_outdated_gossip_does_not_revive_a_dead_vm(self):
+        # A process resumes after hours and still spreads that a replaced VM is alive.
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("r1", 5)), 0.0)
         swim.handle(page(update("r1", 5, DEAD)), 1.0)
@@ -241,8 +243,9 @@
         swim.handle(page(update("r1", 6)), 8001.0)
         assert swim.live() == ("r0", "r1")
 
-    def test_a_life_before_with_a_later_clock_is_refuted(self):
-        # A VM restarts with its clock set back, and the fleet remembers it as newer.
+    def test_restart_with_earlier_clock_refutes_the_previous_incarnation(self):
+        # A VM restarts with its clock set back, so that the fleet knows it with a
+        # higher incarnation.
         swim = Swim(update("r0", 10), seed=1, now=0.0)
         swim.handle(page(update("r0", 99)), 0.0)
         assert swim.me.incarnation == 100
@@ -250,8 +253,8 @@
 
 
 class TestVmList:
-    def test_a_vm_missing_from_the_list_is_not_dead(self):
-        # The list lags, or a fault at the platform drops half of it.
+    def test_vm_missing_from_the_list_stays_live(self):
+        # The list is outdated, or a fault of the platform dropped half of it.
         fleet = Fleet(3)
         for swim in fleet.swims.values():
             swim.hint(fleet.entries[:1], fleet.now)
@@ -259,7 +262,7 @@
         assert fleet.all_live()
         assert fleet.swims["r0"].vm_list.published("fes-1") == ("r0",)
 
-    def test_a_listed_vm_that_never_answers_is_not_live(self):
+    def test_listed_vm_that_never_answers_is_not_live(self):
         fleet = Fleet(3)
         fleet.swims["r0"].hint([*fleet.entries, entry("gone")], fleet.now)
         fleet.deliver = lambda row, deliver=fleet.deliver: (
@@ -269,29 +272,29 @@
         assert any(row.router == "gone" for row in fleet.sent)
         assert "gone" not in fleet.swims["r0"].members()
 
-    def test_a_vm_listed_as_leaving_gets_no_roles(self):
+    def test_vm_listed_as_leaving_gets_no_roles(self):
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("r1"), update("r2")), 0.0)
         swim.hint([entry("r0"), entry("r1", leaving=True)], 0.0)
         assert swim.live("fes-1") == ("r0", "r2")
         assert swim.vm_list.published() == ("r0", "r1")
 
-    def test_an_empty_list_is_not_believed(self):
+    def test_empty_list_is_ignored(self):
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.hint([entry("r0"), entry("r1")], 0.0)
         swim.hint([], 1.0)
         assert swim.vm_list.published() == ("r0", "r1")
 
-    def test_an_address_given_to_another_vm_does_not_answer_for_it(self):
-        # A VM is gone and a new one has its address. An answer would keep the dead
-        # one alive for as long as the new one runs.
+    def test_vm_with_a_reused_address_does_not_answer_for_the_previous_vm(self):
+        # A new VM reuses the address of a removed one. If it answered probes of the
+        # removed VM, that one would count as alive for as long as the new one runs.
         swim = Swim(update("r0"), seed=1, now=0.0)
         ping = messages.Ping(1, "r1", 1, 0, (update("r1"),), "former")
         assert swim.handle(ping, 0.0) == []
 
 
 class TestPackets:
-    def test_the_fullest_packet_fits(self):
+    def test_largest_packet_fits_the_size_limit(self):
         swim = Swim(update("r" * 64), seed=1, now=0.0)
         names = [f"{index:064}" for index in range(60)]
         for name in names:
@@ -304,12 +307,12 @@
         assert len(sizes) == 2
         assert 900 < max(sizes) <= PACKET_BYTES - 16
 
-    def test_names_too_long_are_left_out(self):
+    def test_members_with_too_long_names_are_ignored(self):
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("n" * 65)), 0.0)
         assert swim.live() == ("r0",)
 
-    def test_a_node_sends_the_same_in_a_larger_fleet(self):
+    def test_traffic_per_router_does_not_grow_with_fleet_size(self):
         rates = []
         for count in (3, 60):
             fleet = Fleet(count)
@@ -322,9 +325,9 @@
 
 
 class TestVersions:
-    def test_a_new_version_reaches_370_routers_within_5_s(self):
-        # An operator publishes a change and one router reads it. Each other one
-        # needs 0.1 s to fetch it from the router that it heard of it.
+    def test_new_version_reaches_370_routers_within_two_seconds(self):
+        # An operator publishes a change and one router reads it. Each other router
+        # needs 0.1 s to fetch it from the router that announced it.
         fleet = Fleet(370)
         fetched = {"r0": 0}
 
@@ -344,8 +347,8 @@
         fleet.run(0.2)
         assert max(fetched.values()) < 12
 
-    def test_the_source_of_a_version_is_a_router_that_is_reachable(self):
-        # The only router that had a version dies before anybody fetched it.
+    def test_source_of_a_version_is_a_reachable_router(self):
+        # The only router with a version fails before any other router fetched it.
         swim = Swim(update("r0"), seed=1, now=0.0)
         assert swim.highest_reported_version() == (0, "")
         for name, version in (("r1", 7), ("r2", 6)):
@@ -355,7 +358,7 @@
         swim.handle(page(update("r1", 1, DEAD)), 0.0)
         assert swim.highest_reported_version() == (6, "r2")
 
-    def test_a_lower_version_is_not_announced(self):
+    def test_lower_version_is_not_announced(self):
         fleet = Fleet(3)
         assert len(fleet.swims["r0"].announce_version(7, 0.0)) == 2
         assert fleet.swims["r0"].announce_version(6, 0.0) == []
@@ -366,16 +369,16 @@
 
 
 class AnyOrderOfFaults(RuleBasedStateMachine):
-    """Lose, delay, double, pause, restart, split, drain; then let it all heal.
+    """Apply network faults, pauses, restarts, partitions and drains, then end all.
 
-    Whatever came, nobody may hold a VM for dead that runs and that all reach, or its
-    schedulers would be given away for ever.
+    After any such sequence, no router may still consider a VM dead that runs and is
+    reachable: its schedulers would never return to it.
     """
 
     def __init__(self):
         super().__init__()
         self.fleet = Fleet(4)
-        self.life = 1
+        self.incarnation = 1
         self.drained = set()
         self.seen = {}
 
@@ -402,8 +405,8 @@
 
     @rule(node=NODES)
     def restart(self, node):
-        self.life += 1000
-        self.fleet.start(node, self.life)
+        self.incarnation += 1000
+        self.fleet.start(node, self.incarnation)
         self.fleet.stopped.discard(node)
         self.drained.discard(node)
         self.seen = {pair: row for pair, row in self.seen.items() if pair[0] != node}
