--- a/packages/fulmarroad/src/fulmarroad/_suspicion.py
+++ b/packages/fulmarroad/src/fulmarroad/_suspicion.py
@@ -1,4 +1,4 @@
-"""Timers that turn suspects into dead members, and detection of own pauses."""
+"""Timers that turn suspects into dead members, and detection of pauses."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 class SuspicionTimers:
-    """Run a timer for each suspect, and expire none right after an own pause.
+    """Run a timer for each suspect, and expire none right after a pause.
 
-    Otherwise a process that was stopped for ten seconds would find all timers expired
-    when it resumes and report all other members as dead. Each of them would have to
-    refute while its shards are reassigned. The symptom is a burst of member changes
-    that one router causes.
+    A pause is a time in which this process did not run. Without this rule a process
+    that was stopped for ten seconds would find all timers expired when it resumes and
+    report all other members as dead. Each of them would have to refute while its shards
+    are reassigned. The symptom is a burst of member changes that one router causes.
     """
 
     def __init__(self, now: float) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -64,7 +64,7 @@
 """Minimum time between two pushes in seconds; it limits them if many VMs fail."""
 
 JOIN_TIMEOUT_S = 3.0
-"""Time without any answer after which a router takes itself as alone, in seconds."""
+"""Time without any answer after which a router assumes it is alone, in seconds."""
 
 
 class Swim:
@@ -147,7 +147,7 @@
 
     def hint(self, vms: Collection[VmEntry], now: float) -> list[Outgoing]:
         """Use a VM list as a hint which VMs to probe."""
-        changed = self._view.vm_list.replace(vms)
+        changed = self._view.vm_list.offer(vms)
         if not changed or self._view.others():
             return []
         return self._probe_unreachable(FANOUT)
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -28,7 +28,7 @@
     that it dropped too early would lose its running work, and a removed VM that it
     still names would get shards that no router schedules, with callers waiting on it.
     So a VM missing from the list is not dead, and a listed VM is not live before it
-    answers. Membership takes only two facts from the list: which VMs to probe, and that
+    answers. Membership uses only two facts of the list: which VMs to probe, and that
     a VM marked leaving gets no new role. Units and key groups are assigned by the list
     and not by liveness, since the two sides of a partition see the same list but not
     the same live VMs.
@@ -42,7 +42,7 @@
         """Return the entries of the current list."""
         return self._entries.values()
 
-    def replace(self, entries: Collection[VmEntry]) -> bool:
+    def offer(self, entries: Collection[VmEntry]) -> bool:
         """Replace the list; return whether anything changed.
 
         An empty list is ignored. It must be wrong, as this router is itself a VM, and
--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -426,7 +426,7 @@
         self.fleet.cut = lambda one, other: False
 
     @invariant()
-    def beliefs_never_go_back(self):
+    def member_states_never_regress(self):
         for observer, swim in self.fleet.swims.items():
             for subject, member in swim.members().items():
                 before = self.seen.get((observer, subject))
@@ -443,7 +443,7 @@
         fleet.stopped.clear()
         self.heal()
         self.wait(40.0)
-        self.beliefs_never_go_back()
+        self.member_states_never_regress()
         running = tuple(sorted(set(fleet.names) - self.drained))
         for swim in fleet.swims.values():
             assert swim.live() == running
