--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -151,7 +151,7 @@
         fleet.run(60)
         assert fleet.changes == []
 
-    def test_leaving_vm_gets_no_roles_and_never_becomes_alive_again(self):
+    def test_a_leaving_vm_gets_no_roles_and_never_returns_to_alive(self):
         # A drained VM keeps running for a while before it stops.
         fleet = Fleet(9)
         fleet.run(5)
@@ -167,7 +167,7 @@
 
 
 class TestReturn:
-    def test_resumed_process_suspects_no_member(self):
+    def test_a_paused_process_accuses_nobody_when_it_wakes(self):
         # A VM is frozen for ten seconds during a probe and resumes with all timers
         # expired. It must not declare the other VMs dead, which would cost them their
         # roles.
@@ -184,7 +184,7 @@
         assert changed == {"r1"}
         assert fleet.swims["r1"].me.incarnation == 2
 
-    def test_probe_sent_before_a_pause_causes_no_suspicion(self):
+    def test_a_probe_open_before_a_pause_accuses_nobody(self):
         # A process pauses right after sending a probe. The answer is still in its
         # socket's buffer when it resumes.
         swim = Swim(update("r0"), seed=1, now=0.0)
@@ -219,7 +219,7 @@
         assert fleet.swims["r0"].live() == ("r0",)
 
     @pytest.mark.parametrize(("count", "length"), [(2, 20), (9, 60), (9, 600)])
-    def test_halves_rejoin_after_a_partition(self, count, length):
+    def test_halves_find_each_other_after_a_partition(self, count, length):
         # During a partition both halves declare each other dead. When the network
         # recovers, the VM list is unavailable.
         fleet = Fleet(count)
@@ -230,7 +230,7 @@
         fleet.cut = lambda one, other: False
         assert fleet.run(until=fleet.all_live) < 15
 
-    def test_outdated_gossip_does_not_revive_a_dead_vm(self):
+    def test_old_gossip_raises_no_dead(self):
         # A process resumes after hours and still spreads that a replaced VM is alive.
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("r1", 5)), 0.0)
@@ -279,7 +279,7 @@
         assert swim.live("fes-1") == ("r0", "r2")
         assert swim.vm_list.published() == ("r0", "r1")
 
-    def test_empty_list_is_ignored(self):
+    def test_an_empty_list_is_not_believed(self):
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.hint([entry("r0"), entry("r1")], 0.0)
         swim.hint([], 1.0)
@@ -325,7 +325,7 @@
 
 
 class TestVersions:
-    def test_new_version_reaches_370_routers_within_two_seconds(self):
+    def test_a_new_version_reaches_370_routers_within_5_s(self):
         # An operator publishes a change and one router reads it. Each other router
         # needs 0.1 s to fetch it from the router that announced it.
         fleet = Fleet(370)
