--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_crash_detector.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_crash_detector.py
@@ -1,8 +1,9 @@
-"""Find out whether a backend server whose connection broke has ended.
+"""Detect whether a backend server has crashed after a connection to it broke.
 
-Pattern of load: a server takes dozens of calls down with it, and each of them asks. A
-reset connection, a spoiled answer or a cut link break calls as well, but leave a server
-that takes new connections or says nothing; the host of one that ended refuses them.
+Pattern of load: a crash breaks dozens of calls, and each of them asks for the check. A
+reset connection, a corrupt answer or a cut link break calls as well, but the server
+then accepts a new connection or does not respond. If its process has ended, the host
+refuses the connection.
 """
 
 from __future__ import annotations
@@ -20,28 +21,30 @@
 
 logger = logging.getLogger("fulmarroad.serving")
 
-MOST_VERDICTS = 256
-"""Servers that ended or were asked lately; the oldest verdicts go first."""
+MAX_RESULTS = 256
+"""Maximum number of results kept; the oldest are dropped first."""
 
-ONE_END_S = 1.0
-"""Time after an end in which calls that break off belong to it. Later ones ask anew: a
-cut that refused connections may have healed."""
+CRASH_WINDOW_S = 1.0
+"""Time after a detected crash in which broken calls are attributed to it.
+
+Later ones check the server again, as it may only have been unreachable.
+"""
 
 Start = tuple[ServerName, int]
 
 
 @frozen
-class _Verdict:
+class _CheckResult:
     ended: bool
-    asked_at: float
+    checked_at: float
 
-    def holds(self, broke_at: float) -> bool:
-        """Tell whether it answers for a call that broke off at a time."""
-        return broke_at <= self.asked_at + (ONE_END_S if self.ended else 0.0)
+    def applies_to(self, broke_at: float) -> bool:
+        """Return whether the result applies to a call that broke at `broke_at`."""
+        return broke_at <= self.checked_at + (CRASH_WINDOW_S if self.ended else 0.0)
 
 
 class CrashDetector:
-    """Ask a server once for all the calls that it broke off together."""
+    """Check a server once for all calls that broke at about the same time."""
 
     def __init__(
         self, pool: ConnectionPool, registry: Registry, clock: Callable[[], float]
@@ -49,32 +52,32 @@
         self._pool = pool
         self._registry = registry
         self._clock = clock
-        self._verdicts: dict[Start, _Verdict] = {}
-        self._asking: dict[Start, anyio.Event] = {}
+        self._results: dict[Start, _CheckResult] = {}
+        self._checks: dict[Start, anyio.Event] = {}
 
     async def has_crashed(self, instance: Instance, broke_at: float) -> bool:
-        """Tell whether a server that broke a call off ended, and unannounced."""
+        """Return whether a server that broke a call has ended without announcing it."""
         start = (instance.id, instance.started_ms)
         while True:
-            verdict = self._verdicts.get(start)
-            if verdict is not None and verdict.holds(broke_at):
-                return verdict.ended
-            asking = self._asking.get(start)
-            if asking is None:
-                return await self._ask(instance, start)
-            await asking.wait()
-
-    async def _ask(self, instance: Instance, start: Start) -> bool:
-        asking = self._asking[start] = anyio.Event()
-        asked_at = self._clock()
+            result = self._results.get(start)
+            if result is not None and result.applies_to(broke_at):
+                return result.ended
+            check_done = self._checks.get(start)
+            if check_done is None:
+                return await self._check(instance, start)
+            await check_done.wait()
+
+    async def _check(self, instance: Instance, start: Start) -> bool:
+        check_done = self._checks[start] = anyio.Event()
+        checked_at = self._clock()
         try:
             ended = self._is_expected(instance) and await self._pool.refuses(instance)
-            self._verdicts[start] = _Verdict(ended, asked_at)
-            if len(self._verdicts) > MOST_VERDICTS:
-                del self._verdicts[next(iter(self._verdicts))]
+            self._results[start] = _CheckResult(ended, checked_at)
+            if len(self._results) > MAX_RESULTS:
+                del self._results[next(iter(self._results))]
         finally:
-            del self._asking[start]
-            asking.set()
+            del self._checks[start]
+            check_done.set()
         if ended:
             emit(
                 logger,
@@ -86,6 +89,6 @@
         return ended
 
     def _is_expected(self, instance: Instance) -> bool:
-        """Tell whether the server should be running: it did not say that it leaves."""
+        """Return whether the server should be running: registered and not draining."""
         row = self._registry.get(instance.id)
         return row is not None and not row.instance.draining
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
@@ -1,14 +1,16 @@
-"""Sum what many routers report, so that a router hears of a large fleet in few packets.
-
-Pattern of load: scores of routers in front of the same engines, each sending a small
-part of the calls. If each told all others, packets would grow with the square of the
-fleet; told to a few at random, loads are half a second old and some are missing:
-operators would notice engines that turn calls away as full while others idle. So two
-routers of each data centre collect the reports there, exchange the sums with the
-collectors of other data centres, and give the fleet's sum to those of their own. Nobody
-is told of single routers' loads, and a router takes its own report out of the sum that
-it hears. Both collectors do the same work, so the loss of one makes news older by a
-digest's interval and no more.
+"""Sum the reports of many routers, so that a large fleet needs few packets.
+
+Pattern of load: scores of routers send calls to the same engines, each a small part of
+them. If each router reported to all others, the number of packets would grow with the
+square of the fleet. With gossip to a few random peers, loads would be half a second old
+and some would be missing: operators would see engines refuse calls as full while others
+idle.
+
+So two routers of each data centre, its collectors, sum the reports there, exchange the
+sums with the collectors of other data centres and send the sum of the fleet to the
+routers of their own. Digests hold no loads of single routers; each router subtracts its
+own report from the sum that it receives. Both collectors do the same work, so the loss
+of one delays loads by the interval of one digest at most.
 """
 
 from __future__ import annotations
@@ -42,63 +44,65 @@
 from fulmarroad_serving._suspects import SuspectRow
 
 FORMAT = 2
-"""First field of each digest; a report of one router has another."""
+"""First field of each digest; reports of single routers have another value there."""
 
-COLLECTORS = 2
-"""Routers of a data centre that sum up its reports: one may be lost at any time."""
+COLLECTORS_PER_CENTRE = 2
+"""Number of routers that sum the reports of a data centre; one may fail at any time."""
 
-FRESH_S = 1.0
-"""Age at which what was heard is left out of a sum: several reports were lost."""
+MAX_REPORT_AGE_S = 1.0
+"""Age at which a report or sum is left out: several packets in a row were lost."""
 
-OWN_REPORTS = 80
-"""Reports of its own that a router remembers: six seconds of them, more than the oldest
-that may still be in a sum."""
+MAX_OWN_REPORTS = 80
+"""Number of its own reports that a router keeps.
+
+They cover six seconds, more than the age of the oldest report that a sum may contain.
+"""
 
 
 MemberId = int
 
 
 def member_id(router: RouterName) -> MemberId:
-    """Return the number that stands for a router in sums, where names are too long.
+    """Return the 32-bit id of a router in sums, where names would take too much space.
 
-    Two of 370 routers share one with a chance of one in sixty thousand; one of them
-    would then count its own calls as others' or leave some out.
+    The chance that two of 370 routers share an id is one in sixty thousand. One of them
+    would then count its own calls as those of others, or leave out some of theirs.
     """
     return xxhash.xxh3_64_intdigest(router.encode()) & 0xFFFFFFFF
 
 
 @frozen
 class ReportSum:
-    """Hold the sum of what some routers report."""
+    """Hold the summed reports of some routers."""
 
     sequences: Mapping[MemberId, int]
-    """The report of each router that is in the sum."""
-    age_s: float  # of the loads, on average
+    """Sequence number of the report of each router that is in the sum."""
+    age_s: float  # average age of the loads
     loads: Mapping[ServerName, PeerLoad]
     counts: Mapping[WorkspaceName, WorkspaceCount]
 
 
 @frozen
 class Digest:
-    """Hold what a collector tells: a sum, and now and then where routers are."""
+    """Hold what a collector sends: a sum, and in some digests the members it knows."""
 
     sender: RouterName
-    scope: DataCentreName  # whose routers are in the sum; empty: of the whole fleet
+    scope: DataCentreName  # data centre of the routers in the sum; empty: fleet
     total: ReportSum
     members: tuple[Member, ...] = ()
-    parts: tuple[tuple[PartId, ServerName], ...] = ()  # sent to servers lately
-    suspects: tuple[SuspectRow, ...] = ()  # requests under which servers ended
+    parts: tuple[tuple[PartId, ServerName], ...] = ()  # recently sent to servers
+    suspects: tuple[SuspectRow, ...] = ()  # requests that may have crashed servers
 
 
 def collectors(
     routers: Collection[RouterName], centre: DataCentreName
 ) -> tuple[RouterName, ...]:
-    """Return the routers of a data centre that sum up its reports."""
-    return watchers(routers, COLLECTORS, f"reports\0{centre}")
+    """Return the routers that sum the reports of a data centre."""
+    return watchers(routers, COLLECTORS_PER_CENTRE, f"reports\0{centre}")
 
 
 def sum_reports(reports: Iterable[tuple[PeerReport, float]]) -> ReportSum:
-    """Sum reports, each with its age in seconds."""
+    """Sum reports, each given with its age in seconds."""
     return _sum(
         (ReportSum({member_id(row.router): row.sequence}, age_s, row.loads, row.counts))
         for row, age_s in reports
@@ -106,7 +110,7 @@
 
 
 def merge(sums: Iterable[tuple[ReportSum, float]]) -> ReportSum:
-    """Merge sums that have no router in common, each with the time since it came."""
+    """Merge sums without a router in common, each given with the time since receipt."""
     return _sum(
         ReportSum(row.sequences, row.age_s + age_s, row.loads, row.counts)
         for row, age_s in sums
@@ -117,11 +121,11 @@
     sequences: dict[MemberId, int] = {}
     loads: dict[ServerName, list[int]] = {}
     counts: dict[WorkspaceName, list[float]] = {}
-    weight = weighted = 0.0
+    weight = weighted_age_s = 0.0
     for row in rows:
         sequences.update(row.sequences)
         weight += len(row.sequences)
-        weighted += row.age_s * len(row.sequences)
+        weighted_age_s += row.age_s * len(row.sequences)
         for server, load in row.loads.items():
             pair = loads.setdefault(server, [0, 0])
             pair[0] += load.running
@@ -132,7 +136,7 @@
             both[1] += count.got
     return ReportSum(
         sequences,
-        weighted / weight if weight else 0.0,
+        weighted_age_s / weight if weight else 0.0,
         {name: PeerLoad(*pair) for name, pair in loads.items()},
         {name: WorkspaceCount(*pair) for name, pair in counts.items()},
     )
@@ -140,29 +144,31 @@
 
 @define
 class OwnReports:
-    """Remember this router's reports, to take them out of sums of all."""
+    """Keep this router's own reports, to subtract them from sums of the fleet."""
 
-    _rows: deque[PeerReport] = field(factory=lambda: deque(maxlen=OWN_REPORTS))
+    _reports: deque[PeerReport] = field(factory=lambda: deque(maxlen=MAX_OWN_REPORTS))
 
     def note(self, report: PeerReport) -> None:
-        """Remember a report that was sent."""
-        self._rows.append(report)
+        """Record a report that was sent."""
+        self._reports.append(report)
 
     def subtract_own(self, total: ReportSum, me: RouterName) -> ReportSum:
-        """Return a sum without the report of this router that is in it."""
+        """Return a sum without the report of the router `me`, if it is in the sum."""
         sequence = total.sequences.get(member_id(me))
-        mine = next((row for row in self._rows if row.sequence == sequence), None)
-        if mine is None:
+        own_report = next(
+            (row for row in self._reports if row.sequence == sequence), None
+        )
+        if own_report is None:
             return total
         loads = dict(total.loads)
-        for server, load in mine.loads.items():
+        for server, load in own_report.loads.items():
             if server in loads:
                 loads[server] = PeerLoad(
                     max(0, loads[server].running - load.running),
                     max(0, loads[server].waiting_tokens - load.waiting_tokens),
                 )
         counts = dict(total.counts)
-        for workspace, count in mine.counts.items():
+        for workspace, count in own_report.counts.items():
             if workspace in counts:
                 counts[workspace] = WorkspaceCount(
                     max(0.0, counts[workspace].asked - count.asked),
@@ -172,12 +178,12 @@
 
 
 def is_digest(row: object) -> bool:
-    """Tell whether an unpacked packet is a digest."""
+    """Return whether an unpacked packet is a digest."""
     return isinstance(row, list) and bool(row) and row[0] == FORMAT
 
 
 def pack_digest(digest: Digest) -> bytes:
-    """Return a digest as bytes."""
+    """Encode a digest as a packet."""
     total = digest.total
     row = [
         FORMAT,
@@ -195,9 +201,9 @@
 
 
 def read_digest(row: Any, era: int = 0) -> Digest:
-    """Return the digest that an unpacked packet holds, or raise `MessageError`.
+    """Decode a digest from an unpacked packet; raise `MessageError` if it is not valid.
 
-    `era` is the store's as known here, for members that state none.
+    `era` is the store's era known to this router, used for members without one.
     """
     try:
         total = ReportSum(
@@ -212,8 +218,10 @@
             total,
             tuple(read_member(member, era) for member in row[7]),
             tuple((int(part), str(server)) for part, server in row[8]),
-            # Collectors of the version before say nothing of suspects.
+            # Collectors of the previous version send no suspects.
             read_suspects(row[9]) if len(row) > 9 else (),
         )
     except (ValueError, TypeError, IndexError, OverflowError) as error:
-        raise MessageError("This is no digest of reports.") from error
+        raise MessageError(
+            "The digest has a field that is missing or not valid."
+        ) from error
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
@@ -1,8 +1,9 @@
-"""Decide what of the fleet's news goes to whom, and what of it is believed.
+"""Choose the receivers of reports and digests, and apply those that arrive.
 
-A small fleet tells everybody everything. A large one goes through the collectors of
-each data centre, see `_digests`. Both may be in use at once while routers disagree on
-the fleet's size, so what a digest already holds is not counted a second time.
+In a small fleet each router reports to all others. In a large one reports go through
+the collectors of each data centre, see `_digests`. Both ways may be in use at once
+while routers disagree on the size of the fleet, so a load that is in a digest is not
+counted again from the report of its router.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from fulmarroad.types import DataCentreName, RouterName
 from fulmarroad_serving._digests import (
-    FRESH_S,
+    MAX_REPORT_AGE_S,
     Digest,
     MemberId,
     OwnReports,
@@ -30,59 +31,76 @@
 from fulmarroad_serving._suspects import SuspectRow
 
 MAX_DIRECT_PEERS = 16
-"""Peers up to which each router tells all others itself: some 100 packets a second."""
+"""Maximum number of peers for direct reports: some 100 packets a second."""
 
-KNOWN_EVERY = 6
-"""Reports between two that name other routers: once or twice a second."""
+REPORTS_PER_MEMBER_LIST = 6
+"""Every so many reports list other routers: once or twice a second."""
 
-MOST_KNOWN = 12
-"""Routers named in one report, picked at random."""
+MAX_REPORT_MEMBERS = 12
+"""Maximum number of routers listed in one report, picked at random."""
 
-MEMBERS_EVERY = 10
-"""Digests between two that say where routers are: about once a second."""
+DIGESTS_PER_MEMBER_LIST = 10
+"""Every so many digests list the known routers: about once a second."""
 
-MOST_PARTS = 40
-"""Parts in one report, about 0.6 KB: more than a router sends between two reports."""
+MAX_REPORT_PARTS = 40
+"""Maximum number of parts in one report, about 0.6 KB.
 
-MOST_DIGEST_PARTS = 100
-"""Parts in one digest, about 1.7 KB: what a data centre sends between two digests."""
+A router sends fewer to servers between two reports.
+"""
+
+MAX_DIGEST_PARTS = 100
+"""Maximum number of parts in one digest, about 1.7 KB.
+
+The routers of a data centre send as many to servers between two digests.
+"""
 
 MAX_SUSPECTS = 16
-"""Suspects in one packet, 0.7 to 2 KB: an end that takes a hundred calls down with it
-is told within a second, the most certain first."""
+"""Maximum number of suspects in one packet, 0.7 to 2 KB.
+
+The suspects of a crash that broke a hundred calls are sent within a second, those with
+the most crashes first.
+"""
 
-ROLE_S = 0.2
-"""Age at which it is worked out anew who collects: each packet asks, and the answer
-changes as routers come and go."""
+COLLECTOR_CACHE_S = 0.2
+"""Time for which the collectors of a data centre are cached.
+
+Each packet needs them, and they change as routers start and stop.
+"""
 
 COLLECTOR_SILENCE_S = 0.75
-"""Silence after which another router collects in the place of one: ten of its digests,
-so that lost packets alone hardly ever replace it."""
+"""Time without a packet after which a collector is replaced.
+
+Ten missed digests, so that packet loss alone hardly ever replaces it.
+"""
+
+COLLECTOR_CANDIDATE_S = 6.0
+"""Age of a router's newest report up to which it may be chosen as a collector.
+
+It is longer than the time for which a router counts as alive: if the collectors fail,
+all others seem silent at once, and replacements have to be chosen among them.
+"""
 
-CANDIDATE_S = 6.0
-"""Time after which a router is no longer thought of as a collector. Longer than it
-counts as alive: with the collectors everybody falls silent at once, and someone has to
-be left to turn to."""
+FLEET_SOURCE = "*"
+"""Source name of the loads of the whole fleet.
 
-FLEET = "*"
-"""Source of loads that are the whole fleet's; data centres' follow after the same sign,
-which no router's name begins with."""
+For those of one data centre, its name is appended. No router's name starts with "*".
+"""
 
 
 @define
-class _Heard:
-    """Hold a sum that a collector sent."""
+class _ReceivedSum:
+    """Hold a sum that a collector sent and the time of its receipt."""
 
     total: ReportSum
-    at: float
+    received_at: float
     senders: dict[RouterName, float] = field(factory=dict)
 
-    def fresh(self, now: float) -> bool:
-        return now - self.at < FRESH_S
+    def is_fresh(self, now: float) -> bool:
+        return now - self.received_at < MAX_REPORT_AGE_S
 
 
 class FleetView:
-    """Hold one router's part in the exchange of reports."""
+    """Hold the state of one router in the exchange of reports."""
 
     def __init__(
         self,
@@ -97,254 +115,281 @@
         self._host = host
         self._dispatcher = dispatcher
         self._random = source
-        self._own = OwnReports()
-        self._last: PeerReport | None = None
-        self._centres: dict[DataCentreName, _Heard] = {}
-        self._fleet: _Heard | None = None
-        self._direct: dict[MemberId, RouterName] = {}
-        self._greet: dict[str, DataCentreName] = {}
-        self._roles: dict[DataCentreName, tuple[float, tuple[RouterName, ...]]] = {}
-        self._expected: dict[RouterName, float] = {}
-        """When each collector here was heard last, or first counted on."""
-        self._told = 0
+        self._own_reports = OwnReports()
+        self._last_report: PeerReport | None = None
+        self._centre_sums: dict[DataCentreName, _ReceivedSum] = {}
+        self._fleet_sum: _ReceivedSum | None = None
+        self._direct_members: dict[MemberId, RouterName] = {}
+        self._introductions: dict[str, DataCentreName] = {}
+        self._collector_cache: dict[
+            DataCentreName, tuple[float, tuple[RouterName, ...]]
+        ] = {}
+        self._collector_seen_at: dict[RouterName, float] = {}
+        """Time of each local collector's last packet, or of its selection."""
+        self._digest_count = 0
         self.book = PeerBook(me, host)
 
     @property
-    def relayed(self) -> bool:
-        """Tell whether the fleet is too large for everybody to tell everybody."""
+    def uses_collectors(self) -> bool:
+        """Return whether the fleet is too large for direct reports to all routers."""
         return self.book.size > MAX_DIRECT_PEERS
 
     def collectors_of(
         self, centre: DataCentreName, now: float
     ) -> tuple[RouterName, ...]:
-        """Return the routers that sum up a data centre's reports."""
-        known = self._roles.get(centre)
-        if known is not None and now - known[0] < ROLE_S:
+        """Return the collectors of a data centre."""
+        known = self._collector_cache.get(centre)
+        if known is not None and now - known[0] < COLLECTOR_CACHE_S:
             return known[1]
         routers = {
             peer.router
-            for peer in self.book.alive(now, CANDIDATE_S)
+            for peer in self.book.alive(now, COLLECTOR_CANDIDATE_S)
             if peer.data_centre == centre and not peer.leaving
         }
         if centre == self._centre:
-            names = self._heard_collectors(routers, now)
+            names = self._active_collectors(routers, now)
         else:
             names = collectors(routers, centre)
-        self._roles[centre] = (now, names)
+        self._collector_cache[centre] = (now, names)
         return names
 
-    def _heard_collectors(
+    def _active_collectors(
         self, routers: set[RouterName], now: float
     ) -> tuple[RouterName, ...]:
-        """Return the collectors here, passing over those that have fallen silent."""
+        """Return the collectors of this data centre, with silent ones replaced."""
         names: tuple[RouterName, ...] = ()
         routers.add(self._me)
         candidates = frozenset(routers)
         while routers:
             names = collectors(routers, self._centre)
             for name in names:
-                self._expected.setdefault(name, now)
+                self._collector_seen_at.setdefault(name, now)
             lost = [name for name in names if self._is_lost(name, now)]
             if not lost:
                 break
             routers.difference_update(lost)
-        for name in self._expected.keys() - set(names):
+        for name in self._collector_seen_at.keys() - set(names):
             if name not in candidates or not self._is_lost(name, now):
-                del self._expected[name]
+                del self._collector_seen_at[name]
         return names
 
     def _is_lost(self, router: RouterName, now: float) -> bool:
-        at = self._expected.get(router)
+        at = self._collector_seen_at.get(router)
         silent = at is not None and now - at >= COLLECTOR_SILENCE_S
         return silent and router != self._me
 
-    def _note_direct(self, router: RouterName, now: float) -> None:
-        if router in self._expected:
-            self._expected[router] = now
+    def _note_packet(self, router: RouterName, now: float) -> None:
+        if router in self._collector_seen_at:
+            self._collector_seen_at[router] = now
 
     def is_collector(self, now: float) -> bool:
-        """Tell whether this router is a collector of its data centre."""
-        return self.relayed and self._me in self.collectors_of(self._centre, now)
+        """Return whether this router is a collector of its data centre."""
+        return self.uses_collectors and self._me in self.collectors_of(
+            self._centre, now
+        )
 
-    # what goes out
+    # outgoing packets
 
     def complete_report(self, report: PeerReport, now: float) -> PeerReport:
-        """Add what depends on the fleet to a report, and remember it."""
+        """Add known members, parts and suspects to a report, and record it as sent."""
         known: list[Member] = []
-        if self._greet:
+        if self._introductions:
             names = {
                 name
-                for centre in set(self._greet.values())
+                for centre in set(self._introductions.values())
                 for name in self.collectors_of(centre, now)
             }
             known = [row for row in self.book.members(now) if row.router in names]
-        elif not report.sequence % KNOWN_EVERY:
+        elif not report.sequence % REPORTS_PER_MEMBER_LIST:
             known = self.book.members(now)
-            if len(known) > MOST_KNOWN:
-                known = self._random.sample(known, MOST_KNOWN)
-        if not self.is_collector(now):  # else they are in its digests
+            if len(known) > MAX_REPORT_MEMBERS:
+                known = self._random.sample(known, MAX_REPORT_MEMBERS)
+        if not self.is_collector(now):  # collectors send them in digests
             report = evolve(
                 report,
-                parts=self._dispatcher.parts.pop_updates(MOST_PARTS),
+                parts=self._dispatcher.parts.pop_updates(MAX_REPORT_PARTS),
                 suspects=self._dispatcher.suspects.pop_updates(MAX_SUSPECTS, now),
             )
         report = evolve(report, known=tuple(known))
-        self._own.note(report)
-        self._last = report
+        self._own_reports.note(report)
+        self._last_report = report
         return report
 
     def receivers(self, seeds: Collection[str], sequence: int, now: float) -> list[str]:
-        """Return the hosts that get a report."""
+        """Return the hosts to which a report is sent."""
         known = self.book.hosts()
-        hosts = set(self._greet)
-        self._greet.clear()
-        if self.relayed:
+        hosts = set(self._introductions)
+        self._introductions.clear()
+        if self.uses_collectors:
             names = self.collectors_of(self._centre, now)
             hosts |= {known[name] for name in names if name in known}
         else:
             hosts |= set(known.values())
-        if not known or not sequence % KNOWN_EVERY:
-            # Seeds again and again: a split fleet has to meet, and seeds may be stale.
+        if not known or not sequence % REPORTS_PER_MEMBER_LIST:
+            # Report to the seeds regularly, as some may be stale and a split fleet has
+            # to merge again.
             hosts |= set(seeds)
         hosts.discard(self._host)
         return sorted(hosts)
 
     def digests(self, now: float) -> list[tuple[Digest, list[str]]]:
-        """Return the digests that are due now, each with the hosts that get it."""
-        if self._last is None or not self.is_collector(now):
-            self._told = 0
+        """Return the digests that are due, each with the hosts to which it is sent."""
+        if self._last_report is None or not self.is_collector(now):
+            self._digest_count = 0
             return []
-        with_members = not self._told % MEMBERS_EVERY
-        self._told += 1
-        mine = sum_reports([(self._last, 0.0), *self._near_reports(now)])
-        heard = [(row.total, now - row.at) for row in self._fresh_centres(now)]
-        fleet = merge([(mine, 0.0), *heard])
-        parts = self._dispatcher.parts.pop_updates(MOST_DIGEST_PARTS)
+        with_members = not self._digest_count % DIGESTS_PER_MEMBER_LIST
+        self._digest_count += 1
+        centre_sum = sum_reports([(self._last_report, 0.0), *self._centre_reports(now)])
+        remote_sums = [
+            (row.total, now - row.received_at) for row in self._fresh_centre_sums(now)
+        ]
+        fleet_sum = merge([(centre_sum, 0.0), *remote_sums])
+        parts = self._dispatcher.parts.pop_updates(MAX_DIGEST_PARTS)
         suspects = self._dispatcher.suspects.pop_updates(MAX_SUSPECTS, now)
-        me = member_of(self._last, 0.0)
-        everybody = self.book.members(now) if with_members else []
-        near = [row for row in everybody if row.data_centre == self._centre]
+        me = member_of(self._last_report, 0.0)
+        members = self.book.members(now) if with_members else []
+        centre_members = [row for row in members if row.data_centre == self._centre]
         return [
             (
-                Digest(self._me, self._centre, mine, (me, *near), parts, suspects),
-                self._far_collectors(now),
+                Digest(
+                    self._me,
+                    self._centre,
+                    centre_sum,
+                    (me, *centre_members),
+                    parts,
+                    suspects,
+                ),
+                self._remote_collector_hosts(now),
             ),
             (
-                Digest(self._me, "", fleet, (me, *everybody), parts, suspects),
-                self._followers(now),
+                Digest(self._me, "", fleet_sum, (me, *members), parts, suspects),
+                self._centre_hosts(now),
             ),
         ]
 
-    def _near_reports(self, now: float) -> list[tuple[PeerReport, float]]:
+    def _centre_reports(self, now: float) -> list[tuple[PeerReport, float]]:
         return [
             (report, age_s)
-            for report, age_s in self.book.own_reports(now, FRESH_S)
+            for report, age_s in self.book.own_reports(now, MAX_REPORT_AGE_S)
             if report.data_centre == self._centre
         ]
 
-    def _fresh_centres(self, now: float) -> list[_Heard]:
-        return [row for row in self._centres.values() if row.fresh(now)]
+    def _fresh_centre_sums(self, now: float) -> list[_ReceivedSum]:
+        return [row for row in self._centre_sums.values() if row.is_fresh(now)]
 
-    def _far_collectors(self, now: float) -> list[str]:
+    def _remote_collector_hosts(self, now: float) -> list[str]:
         centres = {peer.data_centre for peer in self.book.alive(now)}
         hosts = self.book.hosts()
         names: set[RouterName] = set()
         for centre in centres - {self._centre}:
-            # Those that collect there say so; by the book they may be lost already.
-            heard = self._centres.get(centre)
-            if heard is not None and heard.fresh(now):
-                names |= heard.senders.keys()
+            # The senders of recent digests are its collectors, even if the peer book
+            # already counts them as lost.
+            received = self._centre_sums.get(centre)
+            if received is not None and received.is_fresh(now):
+                names |= received.senders.keys()
             names |= set(self.collectors_of(centre, now))
         return sorted(hosts[name] for name in names if name in hosts)
 
-    def _followers(self, now: float) -> list[str]:
+    def _centre_hosts(self, now: float) -> list[str]:
         return sorted(
             peer.host
             for peer in self.book.alive(now)
             if peer.data_centre == self._centre
         )
 
-    # what comes in
+    # incoming packets
 
     def receive_report(self, report: PeerReport, now: float) -> bool:
-        """Take a peer's own report; tell whether it is news."""
+        """Apply a peer's own report and return whether it is newer than the last."""
         is_new = not self.book.knows(report.router)
         if not self.book.receive_report(report, now):
             return False
-        self._note_direct(report.router, now)
+        self._note_packet(report.router, now)
         self._note_parts(report.parts, now)
         self._note_suspects(report.suspects, now)
-        if self.relayed and not self.is_collector(now):
-            self._maybe_greet(report, is_new=is_new)
+        if self.uses_collectors and not self.is_collector(now):
+            self._introduce_collectors(report, is_new=is_new)
         member = member_id(report.router)
-        if not self._covers(member, now):
-            self._direct[member] = report.router
+        if not self._is_counted(member, now):
+            self._direct_members[member] = report.router
             self._dispatcher.receive_load(report.router, report.loads, now)
             self._dispatcher.shares.receive_counts(report.router, report.counts, now)
         return True
 
-    def _maybe_greet(self, report: PeerReport, *, is_new: bool) -> None:
-        """Name the collectors to a router that does not know them yet.
+    def _introduce_collectors(self, report: PeerReport, *, is_new: bool) -> None:
+        """Schedule a report with the collectors for a router that does not know them.
 
-        It has just started, or takes this router for one of them.
+        It has just started, or sends reports here as if this router were a collector.
         """
-        near = report.data_centre == self._centre
-        if is_new or (near and report.sequence % KNOWN_EVERY):
-            self._greet[report.host] = report.data_centre
+        same_centre = report.data_centre == self._centre
+        if is_new or (same_centre and report.sequence % REPORTS_PER_MEMBER_LIST):
+            self._introductions[report.host] = report.data_centre
 
     def receive_digest(self, digest: Digest, now: float) -> None:
-        """Take what a collector tells."""
+        """Apply a digest of a collector."""
         for member in digest.members:
             self.book.merge_member(member, now)
-        self._note_direct(digest.sender, now)
+        self._note_packet(digest.sender, now)
         self._note_parts(digest.parts, now)
         self._note_suspects(digest.suspects, now)
         if digest.scope == self._centre:
             return
         if digest.scope:
             if self.is_collector(now):
-                self._take_centre(digest, now)
-        elif not self.is_collector(now) or self._covers_more(digest.total, now):
-            self._take_fleet(digest, now)
-
-    def _covers_more(self, total: ReportSum, now: float) -> bool:
-        """Tell whether a collector knows more than this one, which has just begun."""
-        known = 1 + len(self._near_reports(now))
-        known += sum(len(row.total.sequences) for row in self._fresh_centres(now))
+                self._apply_centre_digest(digest, now)
+        elif not self.is_collector(now) or self._is_more_complete(digest.total, now):
+            self._apply_fleet_digest(digest, now)
+
+    def _is_more_complete(self, total: ReportSum, now: float) -> bool:
+        """Return whether a sum has more routers than this collector knows of.
+
+        That is so for a router that has just become a collector.
+        """
+        known = 1 + len(self._centre_reports(now))
+        known += sum(len(row.total.sequences) for row in self._fresh_centre_sums(now))
         return len(total.sequences) > known
 
-    def _take_centre(self, digest: Digest, now: float) -> None:
-        before = self._centres.get(digest.scope)
+    def _apply_centre_digest(self, digest: Digest, now: float) -> None:
+        before = self._centre_sums.get(digest.scope)
         senders = {
             name: at
             for name, at in (before.senders.items() if before is not None else ())
-            if now - at < FRESH_S
+            if now - at < MAX_REPORT_AGE_S
         }
         senders[digest.sender] = now
-        self._centres[digest.scope] = _Heard(digest.total, now, senders)
-        if self._fleet is not None:
-            self._fleet = None
-            self._dispatcher.forget_peers({FLEET})
-        self._hear(FLEET + digest.scope, digest.total, now)
-
-    def _take_fleet(self, digest: Digest, now: float) -> None:
-        self._fleet = _Heard(digest.total, now)
-        if self._centres:
-            self._dispatcher.forget_peers({FLEET + scope for scope in self._centres})
-            self._centres.clear()
-        self._hear(FLEET, self._own.subtract_own(digest.total, self._me), now)
-
-    def _hear(self, source: str, total: ReportSum, now: float) -> None:
-        twice = self._direct.keys() & total.sequences.keys()
-        if twice:
-            self._dispatcher.forget_peers({self._direct.pop(row) for row in twice})
+        self._centre_sums[digest.scope] = _ReceivedSum(digest.total, now, senders)
+        if self._fleet_sum is not None:
+            self._fleet_sum = None
+            self._dispatcher.forget_peers({FLEET_SOURCE})
+        self._apply_sum(FLEET_SOURCE + digest.scope, digest.total, now)
+
+    def _apply_fleet_digest(self, digest: Digest, now: float) -> None:
+        self._fleet_sum = _ReceivedSum(digest.total, now)
+        if self._centre_sums:
+            self._dispatcher.forget_peers(
+                {FLEET_SOURCE + scope for scope in self._centre_sums}
+            )
+            self._centre_sums.clear()
+        self._apply_sum(
+            FLEET_SOURCE, self._own_reports.subtract_own(digest.total, self._me), now
+        )
+
+    def _apply_sum(self, source: str, total: ReportSum, now: float) -> None:
+        counted_twice = self._direct_members.keys() & total.sequences.keys()
+        if counted_twice:
+            self._dispatcher.forget_peers(
+                {self._direct_members.pop(row) for row in counted_twice}
+            )
         self._dispatcher.receive_load(source, total.loads, now - total.age_s)
         self._dispatcher.shares.receive_counts(source, total.counts, now)
 
-    def _covers(self, member: MemberId, now: float) -> bool:
-        """Tell whether a router's report is in a sum that is believed."""
-        rows = [*self._centres.values(), *([self._fleet] if self._fleet else [])]
-        return any(row.fresh(now) and member in row.total.sequences for row in rows)
+    def _is_counted(self, member: MemberId, now: float) -> bool:
+        """Return whether a recent sum contains a report of the router."""
+        rows = [
+            *self._centre_sums.values(),
+            *([self._fleet_sum] if self._fleet_sum else []),
+        ]
+        return any(row.is_fresh(now) and member in row.total.sequences for row in rows)
 
     def _note_parts(self, parts: Iterable[tuple[PartId, str]], now: float) -> None:
         relay = self.is_collector(now)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
@@ -1,4 +1,4 @@
-"""Talk with the other routers over UDP: reports, and digests in a large fleet."""
+"""Exchange reports with the other routers over UDP, and digests in a large fleet."""
 
 from __future__ import annotations
 
@@ -30,32 +30,45 @@
 logger = logging.getLogger("fulmarroad.serving")
 
 REPORT_S = 0.15
-"""Time between two reports: an engine reads some 13,000 prompt tokens in it, so peers'
-loads are off by less than a large prompt."""
+"""Time between two reports.
+
+An engine reads some 13,000 prompt tokens in this time, so the known loads of peers are
+off by less than a large prompt.
+"""
 
 RELAYED_REPORT_S = 0.075
-"""Time between two reports, and two digests of a collector, in a large fleet. News go
-there by up to two collectors, and nearly all calls at an engine are of others."""
+"""Time between two reports, or two digests of a collector, in a large fleet.
+
+Shorter than `REPORT_S`, as loads pass through up to two collectors there and nearly all
+calls at an engine come from other routers.
+"""
+
+MIN_REPORT_INTERVAL_S = 0.02
+"""Minimum time between two reports, else each large prompt of a burst sends one."""
 
-LEAST_PAUSE_S = 0.02
-"""Least time between two reports: in a burst every large prompt would send one."""
+MAX_REPORTED_WORKSPACES = 40
+"""Maximum number of workspaces in a report.
 
-MOST_WORKSPACES = 40
-"""Workspaces in one report, those that ask for most first: shares turn on those."""
+Those that ask for most come first, as the shares depend on them.
+"""
 
-FRESH_STORE_S = 1.6
-"""Age at which a peer's contact with the store counts as lost: a watch that waits for
-its whole second, its way and a report."""
+STORE_CONTACT_TIMEOUT_S = 1.6
+"""Age of a peer's last answer from the store at which its contact counts as lost.
+
+It covers a watch that waits for its whole second, the transfer and one report.
+"""
 
 FIRST_REPLICA_WAIT_S = 0.5
-"""Time for which a router that has just started waits for a peer's copy of the store:
-three reports there and back, and the way of the copy."""
+"""Time for which a starting router waits for a peer's copy of the store.
+
+It covers three reports each way and the transfer of the copy.
+"""
 
-EXPIRE_S = 0.25
+EXPIRY_INTERVAL_S = 0.25
 
 
 class Peers:
-    """Own the sockets to the other routers and what is known of them."""
+    """Own the sockets to the other routers and the state known of them."""
 
     def __init__(
         self,
@@ -79,52 +92,57 @@
         self._store_ages = store_ages
         self._clock = clock
         self._sequence = 0
-        self._news = anyio.Event()
+        self._report_due = anyio.Event()
         source = random.Random(incarnation)
         self._view = FleetView(me, centre, host, dispatcher, source)
         self._replica_sync = ReplicaSync(host, port, beliefs, self.book, source, clock)
-        self._begun_at = float("-inf")
+        self._started_at = float("-inf")
         self.seeds: tuple[str, ...] = ()
         self.leaving = False
 
     @property
     def book(self) -> PeerBook:
-        """Return what is known of the other routers."""
+        """Return the newest known state of the other routers."""
         return self._view.book
 
     @property
     def _report_s(self) -> float:
         """Return the time between two reports."""
-        return RELAYED_REPORT_S if self._view.relayed else REPORT_S
+        return RELAYED_REPORT_S if self._view.uses_collectors else REPORT_S
 
     def trigger_report(self) -> None:
-        """Send the next report now: this router's copy of the store has changed."""
-        self._news.set()
+        """Send the next report now, as this router's copy of the store has changed."""
+        self._report_due.set()
 
     def trigger_load_report(self) -> None:
-        """Send the next report now: this router has sent a large prompt.
+        """Send the next report now, as this router has sent a large prompt.
 
-        Where reports are summed up on the way, it would wait for the sum in any case.
+        Do nothing in a large fleet, where the report would wait at the collector for
+        its next digest.
         """
-        if not self._view.relayed:
-            self._news.set()
+        if not self._view.uses_collectors:
+            self._report_due.set()
 
     def reads_store(self) -> bool:
-        """Tell whether this router is the one to read the store."""
+        """Return whether this router is to read the store itself."""
         now = self._clock()
-        if self._expects_copy(now):
+        if self._awaits_peer_copy(now):
             return False
         alive = [peer for peer in self.book.alive(now) if not peer.leaving]
-        mine = [peer.router for peer in alive if peer.data_centre == self._centre]
-        if self._me in watchers([self._me, *mine], 1, "store"):
+        centre_routers = [
+            peer.router for peer in alive if peer.data_centre == self._centre
+        ]
+        if self._me in watchers([self._me, *centre_routers], 1, "store"):
             return True
-        return not any(0 <= peer.store_age_s < FRESH_STORE_S for peer in alive)
+        return not any(
+            0 <= peer.store_age_s < STORE_CONTACT_TIMEOUT_S for peer in alive
+        )
 
-    def _expects_copy(self, now: float) -> bool:
-        """Tell whether a peer should have a copy for this router, which has none yet.
+    def _awaits_peer_copy(self, now: float) -> bool:
+        """Return whether this router, without a copy yet, waits for that of a peer.
 
-        Hundreds of routers that start at once would each list the whole store; those
-        that the others turn to read it, and the others ask them.
+        Otherwise hundreds of routers that start at once would each list the whole
+        store. Only seeds list it at once; the others pull their copies.
         """
         if (
             self._router_state.replica.known
@@ -132,26 +150,26 @@
             or self._host in self.seeds
         ):
             return False
-        return now - self._begun_at < FIRST_REPLICA_WAIT_S
+        return now - self._started_at < FIRST_REPLICA_WAIT_S
 
     async def run(self) -> None:
-        """Talk until cancelled."""
-        self._begun_at = self._clock()
+        """Exchange reports and copies until cancelled."""
+        self._started_at = self._clock()
         with PacketSocket(
-            self._host, self._port, self._on_packet, _tell_unread
+            self._host, self._port, self._on_packet, _log_receive_error
         ) as packets:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._send_reports, packets)
                 group.start_soon(self._replica_sync.pull_changes)
-                group.start_soon(self._expire)
+                group.start_soon(self._expire_periodically)
 
     async def serve(self) -> None:
-        """Give this router's copy of the store to peers, until cancelled."""
+        """Serve this router's copy of the store to peers until cancelled."""
         await self._replica_sync.serve()
 
     async def _send_reports(self, packets: PacketSocket) -> None:
         while True:
-            self._news = anyio.Event()
+            self._report_due = anyio.Event()
             now = self._clock()
             self._sequence += 1
             report = self._view.complete_report(self._report(now), now)
@@ -159,24 +177,24 @@
             self._send(packets, pack_report(report), hosts)
             for digest, followers in self._view.digests(now):
                 self._send(packets, pack_digest(digest), followers)
-            await anyio.sleep(LEAST_PAUSE_S)
-            with anyio.move_on_after(self._report_s - LEAST_PAUSE_S):
-                await self._news.wait()
+            await anyio.sleep(MIN_REPORT_INTERVAL_S)
+            with anyio.move_on_after(self._report_s - MIN_REPORT_INTERVAL_S):
+                await self._report_due.wait()
 
     def _send(self, packets: PacketSocket, data: bytes, hosts: Iterable[str]) -> None:
         for host in hosts:
             try:
                 packets.send(data, host, self._port)
             except OSError as error:
-                # Peers hear the next report in its place.
+                # The next report replaces the one that was not sent.
                 emit(logger, Event.REPORT_UNSENT, peer=host, cause=repr(error))
 
     def _report(self, now: float) -> PeerReport:
         counts = self._dispatcher.shares.own_counts(now)
-        if len(counts) > MOST_WORKSPACES:
+        if len(counts) > MAX_REPORTED_WORKSPACES:
             rows = sorted(counts.items(), key=lambda row: -row[1].asked)
-            counts = dict(rows[:MOST_WORKSPACES])
-        age, calm = self._store_ages()
+            counts = dict(rows[:MAX_REPORTED_WORKSPACES])
+        age, failure_age = self._store_ages()
         return PeerReport(
             self._me,
             self._incarnation,
@@ -186,7 +204,7 @@
             self.leaving,
             self._router_state.replica.news_at,
             min(age, 1e6),
-            min(calm, 1e6),
+            min(failure_age, 1e6),
             self._dispatcher.own_load(),
             counts,
         )
@@ -211,31 +229,32 @@
             self._view.receive_report(report, now)
             newest = report.news_at
         if self.book.size != known:
-            # Shares of the fleet's bounds must not stay those of a smaller fleet.
-            self._remember(now)
+            # This router's shares of fleet-wide bounds depend on the size of the fleet.
+            self._update_routers(now)
         if newest > self._router_state.replica.at:
             self._replica_sync.request_pull()
 
-    def _remember(self, now: float) -> None:
-        """Tell the dispatcher which routers may exist, where that has changed.
+    def _update_routers(self, now: float) -> None:
+        """Update the dispatcher's list of known routers if it has changed.
 
-        What is worked out by them is kept for as long as it is the same object.
+        Values derived from the list stay cached for as long as it is the same object,
+        so an equal list is not assigned again.
         """
         routers = self.book.known_routers(now)
         if routers != self._dispatcher.routers:
             self._dispatcher.routers = routers
 
-    async def _expire(self) -> None:
-        heard: set[RouterName] = set()
+    async def _expire_periodically(self) -> None:
+        alive: set[RouterName] = set()
         while True:
-            await anyio.sleep(EXPIRE_S)
+            await anyio.sleep(EXPIRY_INTERVAL_S)
             now = self._clock()
             self._router_state.expire()
-            self._remember(now)
-            heard = self._tell_changes(heard, now)
+            self._update_routers(now)
+            alive = self._tell_changes(alive, now)
 
     def _tell_changes(self, before: set[RouterName], now: float) -> set[RouterName]:
-        """Log who came and who fell silent; return who is heard now."""
+        """Log the peers that became alive or silent and return those alive now."""
         alive = {peer.router: peer for peer in self.book.alive(now)}
         for router in sorted(alive.keys() - before):
             emit(
@@ -250,5 +269,5 @@
         return set(alive)
 
 
-def _tell_unread(error: OSError) -> None:
+def _log_receive_error(error: OSError) -> None:
     emit(logger, Event.REPORT_REJECTED, cause=repr(error))
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
@@ -1,4 +1,4 @@
-"""Exchange copies of the store's state with the other routers, over TCP."""
+"""Exchange copies of the store with the other routers over TCP."""
 
 from __future__ import annotations
 
@@ -21,27 +21,34 @@
 
 logger = logging.getLogger("fulmarroad.serving")
 
-PULL_PATIENCE_S = 0.6
-"""Time after which another peer is asked as well, if there is still news."""
+SECOND_PULL_DELAY_S = 0.6
+"""Time after which a second peer is asked, if one still has a newer copy."""
 
 PULL_TIMEOUT_S = 2.4
-"""Time after which a pull is given up. At a router whose loop runs late a pull takes as
-many turns as ever and so much longer; given up sooner, and begun anew, it would never
-end. Operators would notice a router that uses servers which have long left."""
-MOST_PULL_BYTES = 8 * 1024 * 1024
+"""Timeout of a pull.
 
-UNREADABLE = (
+A pull takes the same number of event loop turns on a router whose loop is late, and so
+more time. With a shorter timeout it would be cancelled and restarted without ever
+finishing, and operators would see the router use servers that left long before.
+"""
+
+MAX_PULL_BYTES = 8 * 1024 * 1024
+
+DECODE_ERRORS = (
     ValueError,
     TypeError,
     LookupError,
     OverflowError,
     msgpack.UnpackException,
 )
-"""What bytes of another format raise; anything else would end the task that reads."""
+"""Errors raised while decoding data of another format.
+
+Any other error would end the task that reads.
+"""
 
 
 class ReplicaSync:
-    """Give this router's copy to peers, and take news from theirs."""
+    """Serve this router's copy of the store to peers, and pull changes from theirs."""
 
     def __init__(
         self,
@@ -58,42 +65,42 @@
         self._book = book
         self._random = source
         self._clock = clock
-        self._wanted = anyio.Event()
-        self._asked: set[RouterName] = set()
+        self._pull_requested = anyio.Event()
+        self._pulling_from: set[RouterName] = set()
 
     @property
     def _era(self) -> int:
-        """Return the store's era as known here; peers of before state none."""
+        """Return the known era of the store, as older versions send none."""
         return era_of(self._router_state.replica.at)
 
     def request_pull(self) -> None:
-        """Pull from a peer: one of them has news."""
-        self._wanted.set()
+        """Request a pull, as a peer has a newer copy."""
+        self._pull_requested.set()
 
     async def serve(self) -> None:
-        """Give this router's copy to peers, until cancelled."""
+        """Serve this router's copy to peers until cancelled."""
         listener = await anyio.create_tcp_listener(
             local_host=self._host, local_port=self._port, reuse_port=False
         )
         async with listener:
-            await listener.serve(self._give)
+            await listener.serve(self._serve_peer)
 
     async def pull_changes(self) -> None:
-        """Pull whenever a peer has news, until cancelled."""
+        """Pull whenever a peer has a newer copy, until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                await self._wanted.wait()
-                self._wanted = anyio.Event()
-                peer = self._freshest()
+                await self._pull_requested.wait()
+                self._pull_requested = anyio.Event()
+                peer = self._choose_newest_peer()
                 if peer is None:
                     continue
                 ended = anyio.Event()
                 group.start_soon(self._pull, peer, ended)
-                with anyio.move_on_after(PULL_PATIENCE_S):
+                with anyio.move_on_after(SECOND_PULL_DELAY_S):
                     await ended.wait()
 
     async def _pull(self, peer: PeerReport, ended: anyio.Event) -> None:
-        self._asked.add(peer.router)
+        self._pulling_from.add(peer.router)
         try:
             with anyio.fail_after(PULL_TIMEOUT_S):
                 delta = await self._ask(peer.host)
@@ -106,15 +113,15 @@
                 cause=repr(error),
             )
         finally:
-            self._asked.discard(peer.router)
+            self._pulling_from.discard(peer.router)
             ended.set()
 
-    def _freshest(self) -> PeerReport | None:
+    def _choose_newest_peer(self) -> PeerReport | None:
         ahead = [
             peer
             for peer in self._book.alive(self._clock())
             if peer.news_at > self._router_state.replica.at
-            and peer.router not in self._asked
+            and peer.router not in self._pulling_from
         ]
         if not ahead:
             return None
@@ -127,7 +134,7 @@
             await stream.send_eof()
             return _read_delta(await _read_all(stream), self._era)
 
-    async def _give(self, stream: SocketStream) -> None:
+    async def _serve_peer(self, stream: SocketStream) -> None:
         async with stream:
             try:
                 with anyio.fail_after(PULL_TIMEOUT_S):
@@ -149,9 +156,9 @@
         except anyio.EndOfStream:
             return bytes(data)
         except anyio.BrokenResourceError as error:
-            raise MessageError("The peer broke off.") from error
-        if len(data) > MOST_PULL_BYTES:
-            raise MessageError("A peer sent more than a copy can hold.")
+            raise MessageError("The peer closed the connection early.") from error
+        if len(data) > MAX_PULL_BYTES:
+            raise MessageError("The peer sent more data than the limit for a copy.")
 
 
 def _asked_bytes(at: Position) -> bytes:
@@ -162,8 +169,8 @@
     try:
         row: list[Any] = msgpack.unpackb(data)
         return position(int(row[1]) if len(row) > 1 else era, int(row[0]))
-    except UNREADABLE as error:
-        raise MessageError("A peer asked for something that can't be read.") from error
+    except DECODE_ERRORS as error:
+        raise MessageError("The request of the peer cannot be decoded.") from error
 
 
 def _delta_bytes(delta: ReplicaDelta) -> bytes:
@@ -184,11 +191,11 @@
         era = int(row[3]) if len(row) > 3 else era
         items = tuple(_read_item(item, era) for item in row[2])
         return ReplicaDelta(position(era, int(row[0])), bool(row[1]), items)
-    except UNREADABLE as error:
-        raise MessageError("A peer gave no copy that can be read.") from error
+    except DECODE_ERRORS as error:
+        raise MessageError("The copy sent by the peer cannot be decoded.") from error
 
 
 def _read_item(row: list[Any], era: int) -> ReplicaItem:
-    key, revision, data, *stated = row
-    at = position(int(stated[0]) if stated else era, int(revision))
+    key, revision, data, *item_era = row
+    at = position(int(item_era[0]) if item_era else era, int(revision))
     return ReplicaItem(str(key), at, data)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -1,4 +1,7 @@
-"""What routers tell each other, several times a second, over UDP."""
+"""Encode the reports that routers exchange over UDP several times a second.
+
+`PeerBook` keeps the newest report of each peer.
+"""
 
 from __future__ import annotations
 
@@ -20,37 +23,42 @@
 FORMAT = 1
 """First field of each report; reports of another format are dropped."""
 
-ALIVE_S = 2.0
-"""Silence after which a peer's word no longer counts: ten of its reports."""
+PEER_TIMEOUT_S = 2.0
+"""Time without a report after which a peer counts as lost: ten missed reports."""
+
+RESTART_SILENCE_S = 1.0
+"""Time without a report after which an incarnation is accepted that seems older.
 
-SILENT_START_S = 1.0
-"""Silence after which a router's start is taken though it seems older: six reports
-long, and packets do not stay on the way for that time."""
+That is six missed reports, and no packet is delayed in the network for that long.
+"""
 
 REMEMBERED_S = 120.0
-"""Silence after which a peer no longer counts towards the size of the fleet: a VM that
-is replaced is back long before, and a share that grew too soon would break a bound."""
+"""Time without a report after which a peer no longer counts towards the fleet's size.
+
+A replaced VM is back long before. A router whose share of a fleet-wide bound grew too
+soon would break that bound.
+"""
 
 
 @frozen
 class Member:
-    """Say where a router is and how fresh its copy of the store, without its loads."""
+    """Hold a router's address and the age of its copy of the store, without loads."""
 
     router: RouterName
     incarnation: int  # boot time in ms since 1970
-    sequence: int  # of the report that this was taken from
+    sequence: int  # of the report from which this was built
     data_centre: DataCentreName
     host: str
     leaving: bool
     news_at: Position
     store_age_s: float
     store_failure_age_s: float
-    age_s: float  # of that report when this was written
+    age_s: float  # of that report when this was built
 
 
 @frozen
 class PeerReport:
-    """Hold what one router says of itself."""
+    """Hold what one router reports about itself."""
 
     router: RouterName
     incarnation: int  # boot time in ms since 1970
@@ -58,18 +66,20 @@
     data_centre: DataCentreName
     host: str
     leaving: bool
-    news_at: Position  # the store's at which its copy last changed
-    store_age_s: float  # since it heard from the store itself; negative: never
-    store_failure_age_s: float  # since the store last failed it
+    news_at: Position  # store position of the last change of its copy
+    store_age_s: float  # since its last answer from the store; negative: none yet
+    store_failure_age_s: float  # since its last failed access to the store
     loads: Mapping[ServerName, PeerLoad] = field(factory=dict)
     counts: Mapping[WorkspaceName, WorkspaceCount] = field(factory=dict)
     known: tuple[Member, ...] = ()  # other routers
-    parts: tuple[tuple[PartId, ServerName], ...] = ()  # sent to servers since the last
-    suspects: tuple[SuspectRow, ...] = ()  # requests under which servers ended
+    parts: tuple[
+        tuple[PartId, ServerName], ...
+    ] = ()  # sent to servers since the last report
+    suspects: tuple[SuspectRow, ...] = ()  # requests that may have crashed servers
 
 
 def pack_report(report: PeerReport) -> bytes:
-    """Return a report as bytes."""
+    """Encode a report as a packet."""
     row = [
         FORMAT,
         report.router,
@@ -92,17 +102,17 @@
 
 
 def pack_loads(loads: Mapping[ServerName, PeerLoad]) -> list[Any]:
-    """Return loads as rows."""
+    """Encode loads as rows."""
     return [[name, load.running, load.waiting_tokens] for name, load in loads.items()]
 
 
 def pack_counts(counts: Mapping[WorkspaceName, WorkspaceCount]) -> list[Any]:
-    """Return workspaces' counts as rows."""
+    """Encode the counts of workspaces as rows."""
     return [[name, int(row.asked), int(row.got)] for name, row in counts.items()]
 
 
 def pack_suspects(suspects: Iterable[SuspectRow]) -> list[Any]:
-    """Return suspects as rows."""
+    """Encode suspects as rows."""
     return [
         [
             row.fingerprint,
@@ -115,15 +125,18 @@
 
 
 def read_suspects(rows: list[Any]) -> tuple[SuspectRow, ...]:
-    """Return the suspects that rows hold; raise `ValueError` or `TypeError`."""
+    """Decode suspects from rows.
+
+    Raises `ValueError` or `TypeError` for rows that are not valid.
+    """
     return tuple(
         SuspectRow(
-            _read_fingerprint(name),
+            _read_fingerprint(fingerprint),
             tuple((int(end), _read_age(age)) for end, age in ends),
-            None if good is None else _read_age(good),
+            None if success_age is None else _read_age(success_age),
             None if trial is None else _read_trial(trial),
         )
-        for name, ends, good, trial in rows
+        for fingerprint, ends, success_age, trial in rows
     )
 
 
@@ -134,7 +147,7 @@
 
 def _read_fingerprint(value: Any) -> Fingerprint:
     if not isinstance(value, bytes) or len(value) != FINGERPRINT_BYTES:
-        raise ValueError("This is no fingerprint.")
+        raise ValueError("The fingerprint is not bytes of the expected length.")
     return value
 
 
@@ -145,22 +158,28 @@
 def _read_age(value: Any) -> float:
     age_s = float(value)
     if not 0 <= age_s < float("inf"):
-        raise ValueError(f"{age_s} is no age.")
+        raise ValueError(f"The age {age_s} is negative or not finite.")
     return age_s
 
 
 def read_loads(rows: list[Any]) -> dict[ServerName, PeerLoad]:
-    """Return the loads that rows hold; raise `ValueError` or `TypeError`."""
+    """Decode loads from rows.
+
+    Raises `ValueError` or `TypeError` for rows that are not valid.
+    """
     return {str(n): PeerLoad(int(r), int(w)) for n, r, w in rows}
 
 
 def read_counts(rows: list[Any]) -> dict[WorkspaceName, WorkspaceCount]:
-    """Return the counts that rows hold; raise `ValueError` or `TypeError`."""
+    """Decode the counts of workspaces from rows.
+
+    Raises `ValueError` or `TypeError` for rows that are not valid.
+    """
     return {str(n): WorkspaceCount(float(a), float(g)) for n, a, g in rows}
 
 
 def member_of(report: PeerReport, age_s: float) -> Member:
-    """Return where a router is, by its report of some age."""
+    """Build a member from a report of `age_s` seconds ago."""
     return Member(
         report.router,
         report.incarnation,
@@ -176,7 +195,7 @@
 
 
 def report_of(member: Member) -> PeerReport:
-    """Return a report that says no more than where a router is."""
+    """Build a report without loads from a member."""
     return PeerReport(
         member.router,
         member.incarnation,
@@ -191,7 +210,7 @@
 
 
 def pack_member(member: Member) -> list[Any]:
-    """Return a member as a row."""
+    """Encode a member as a row."""
     return [
         member.router,
         member.incarnation,
@@ -208,14 +227,15 @@
 
 
 def _read_position(revision: Any, row: list[Any], place: int, era: int) -> Position:
-    """Return a position; routers of the version before state no era."""
+    """Decode a position; the previous version sends no era, so `era` replaces it."""
     return position(int(row[place]) if len(row) > place else era, int(revision))
 
 
 def read_member(row: list[Any], era: int = 0) -> Member:
-    """Return the member that a row holds; raise `ValueError` or `TypeError`.
+    """Decode a member from a row.
 
-    `era` is the store's as known here, for a row that states none.
+    `era` is the store's era known to this router, used for a row without one.
+    Raises `ValueError`, `TypeError` or `IndexError` for a row that is not valid.
     """
     return Member(
         router=str(row[0]),
@@ -232,25 +252,25 @@
 
 
 def unpack(data: bytes) -> object:
-    """Return what a packet of a router holds, or raise `MessageError`."""
+    """Decode a packet from MessagePack; raise `MessageError` if it is not valid."""
     try:
         return msgpack.unpackb(data)
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        raise MessageError("This is no packet of a router.") from error
+        raise MessageError("The packet is not valid MessagePack.") from error
 
 
 def unpack_report(data: bytes) -> PeerReport:
-    """Return the report that bytes hold, or raise `MessageError`."""
+    """Decode a report from a packet; raise `MessageError` if it is not valid."""
     return read_report(unpack(data))
 
 
 def read_report(row: Any, era: int = 0) -> PeerReport:
-    """Return the report that an unpacked packet holds, or raise `MessageError`.
+    """Decode a report from an unpacked packet; raise `MessageError` if it is not valid.
 
-    `era` is the store's as known here, for a packet that states none.
+    `era` is the store's era known to this router, used for a packet without one.
     """
     if not isinstance(row, list) or not row or row[0] != FORMAT:
-        raise MessageError("This is no report of the format spoken here.")
+        raise MessageError("The packet is not a report in the supported format.")
     try:
         return PeerReport(
             router=str(row[1]),
@@ -266,25 +286,27 @@
             counts=read_counts(row[11]),
             known=tuple(read_member(member, era) for member in row[12]),
             parts=tuple((int(part), str(server)) for part, server in row[13]),
-            # Routers of the version before say nothing of suspects.
+            # Routers of the previous version send no suspects.
             suspects=read_suspects(row[14]) if len(row) > 14 else (),
         )
     except (ValueError, TypeError, IndexError, OverflowError) as error:
-        raise MessageError("This is no report of a router.") from error
+        raise MessageError(
+            "The report has a field that is missing or not valid."
+        ) from error
 
 
 @define
 class Peer:
-    """Hold the newest that is known of a peer, and its own newest report."""
+    """Hold the newest state of a peer and the last report that it sent here itself."""
 
     report: PeerReport
-    heard_at: float
-    own: PeerReport | None = None
-    own_at: float = float("-inf")
+    updated_at: float
+    own_report: PeerReport | None = None
+    own_report_at: float = float("-inf")
 
 
 class PeerBook:
-    """Know the other routers from their reports, or from what others say of them."""
+    """Keep the newest state of each peer, from its reports or from those of others."""
 
     def __init__(self, me: RouterName, host: str) -> None:
         self._me = me
@@ -294,77 +316,83 @@
 
     @property
     def size(self) -> int:
-        """Return how many peers are known."""
+        """Return the number of known peers."""
         return len(self._hosts)
 
     def knows(self, router: RouterName) -> bool:
-        """Tell whether a peer was ever heard of."""
+        """Return whether a peer is known."""
         return router in self._hosts
 
     def receive_report(self, report: PeerReport, now: float) -> bool:
-        """Take a peer's own report; tell whether it is news."""
+        """Record a peer's own report and return whether it is newer than the last."""
         if report.router == self._me:
             return False
         peer = self._peers.get(report.router)
-        if peer is not None and peer.own is not None and not _newer(report, peer.own):
-            same_start = report.incarnation == peer.own.incarnation
-            if same_start or now - peer.heard_at < SILENT_START_S:
+        if (
+            peer is not None
+            and peer.own_report is not None
+            and not _is_newer(report, peer.own_report)
+        ):
+            same_start = report.incarnation == peer.own_report.incarnation
+            if same_start or now - peer.updated_at < RESTART_SILENCE_S:
                 return False
-            # Its VM's time of day was set back before it started again: by that time
-            # the start looks older than the one before, which has fallen silent.
+            # The clock of the peer's VM was set back before the peer restarted, so the
+            # new incarnation looks older than the previous one, which sends no more.
             peer = None
         if peer is None:
             peer = self._peers[report.router] = Peer(report, now)
-        peer.own, peer.own_at = report, now
-        if report is peer.report or not _newer(peer.report, report):
-            peer.report, peer.heard_at = report, now
+        peer.own_report, peer.own_report_at = report, now
+        if report is peer.report or not _is_newer(peer.report, report):
+            peer.report, peer.updated_at = report, now
         self._hosts[report.router] = report.host
         for member in report.known:
             self.merge_member(member, now)
         return True
 
     def merge_member(self, member: Member, now: float) -> None:
-        """Take what another router says of a peer."""
+        """Record the state of a peer as another router reported it."""
         if member.router == self._me:
             return
-        report, heard_at = report_of(member), now - member.age_s
+        report, updated_at = report_of(member), now - member.age_s
         peer = self._peers.get(member.router)
         if peer is None:
-            self._peers[member.router] = Peer(report, heard_at)
-        elif _newer(report, peer.report):
-            peer.report, peer.heard_at = report, heard_at
+            self._peers[member.router] = Peer(report, updated_at)
+        elif _is_newer(report, peer.report):
+            peer.report, peer.updated_at = report, updated_at
         else:
             return
         self._hosts[member.router] = member.host
 
     def members(self, now: float) -> list[Member]:
-        """Return every peer that was heard lately, with the age of its report."""
+        """Return every peer that is alive, with the age of its newest report."""
         return [
-            member_of(peer.report, max(0.0, now - peer.heard_at))
+            member_of(peer.report, max(0.0, now - peer.updated_at))
             for peer in self._peers.values()
-            if now - peer.heard_at < ALIVE_S
+            if now - peer.updated_at < PEER_TIMEOUT_S
         ]
 
-    def own_reports(self, now: float, fresh_s: float) -> list[tuple[PeerReport, float]]:
-        """Return the reports that peers sent here lately, with their age."""
+    def own_reports(
+        self, now: float, max_age_s: float
+    ) -> list[tuple[PeerReport, float]]:
+        """Return peers' own reports of less than `max_age_s`, with their ages."""
         return [
-            (peer.own, now - peer.own_at)
+            (peer.own_report, now - peer.own_report_at)
             for peer in self._peers.values()
-            if peer.own is not None and now - peer.own_at < fresh_s
+            if peer.own_report is not None and now - peer.own_report_at < max_age_s
         ]
 
-    def alive(self, now: float, within_s: float = ALIVE_S) -> list[PeerReport]:
-        """Return the newest reports of peers that were heard lately."""
+    def alive(self, now: float, max_age_s: float = PEER_TIMEOUT_S) -> list[PeerReport]:
+        """Return the newest report of each peer, where less than `max_age_s` old."""
         return [
             peer.report
             for peer in self._peers.values()
-            if now - peer.heard_at < within_s
+            if now - peer.updated_at < max_age_s
         ]
 
     def known_routers(self, now: float) -> list[RouterName]:
-        """Return every router that may exist, this one too, sorted."""
+        """Drop peers silent for `REMEMBERED_S` and return all routers, sorted."""
         for name, peer in list(self._peers.items()):
-            if now - peer.heard_at >= REMEMBERED_S:
+            if now - peer.updated_at >= REMEMBERED_S:
                 del self._peers[name]
                 self._hosts.pop(name, None)
         return sorted({self._me, *self._hosts})
@@ -374,6 +402,6 @@
         return dict(self._hosts)
 
 
-def _newer(report: PeerReport, other: PeerReport) -> bool:
+def _is_newer(report: PeerReport, other: PeerReport) -> bool:
     mine = (report.incarnation, report.sequence)
     return mine > (other.incarnation, other.sequence)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
@@ -1,7 +1,7 @@
-"""What a router believes of configuration and servers, kept up to date from the store.
+"""Keep a router's configuration and list of servers up to date with the store.
 
-Facts come from the store or from a peer's copy of it, in any order and more than once;
-each change is logged with the revision that brought it.
+Facts come from the store or from a peer's copy of it, in any order and possibly more
+than once. Each change is logged with its revision.
 """
 
 from __future__ import annotations
@@ -32,13 +32,15 @@
 logger = logging.getLogger("fulmarroad.serving")
 
 REWRITE_S = 10.0
-"""Time after the store came back older in which what it lost is believed: operators and
-servers write it again within seconds."""
+"""Time for which facts that an older copy of the store lacks are kept after its return.
+
+Operators and servers write them again within seconds.
+"""
 
 
 @frozen
-class _Doubted:
-    """Hold a fact that is believed only if it still stands after a while."""
+class _DeferredFact:
+    """Hold a fact that is applied only if no newer one replaces it by `due`."""
 
     fact: Fact
     revision: int
@@ -48,7 +50,7 @@
 
 
 class RouterState:
-    """Turn items of the store into what the dispatcher goes by."""
+    """Apply items of the store to the dispatcher's configuration and servers."""
 
     def __init__(
         self,
@@ -63,8 +65,8 @@
         self._pool = pool
         self._audit = audit
         self._clock = clock
-        self._returned_at = float("-inf")
-        self._doubted: dict[str, _Doubted] = {}
+        self._restored_at = float("-inf")
+        self._deferred: dict[str, _DeferredFact] = {}
         self.replica = StateReplica()
         self.index: CatalogIndex | None = None
         self.on_catalog: Callable[[Catalog], None] = lambda catalog: None
@@ -72,7 +74,7 @@
 
     @property
     def catalog(self) -> Catalog:
-        """Return the configuration in force; version 0 while none is known."""
+        """Return the configuration in force, version 0 before the first one."""
         return self.index.catalog if self.index is not None else Catalog(0)
 
     def apply_listing(
@@ -82,11 +84,11 @@
         failure_age_s: float,
         source: str,
     ) -> int:
-        """Take a whole listing of the store; return how many items were news."""
+        """Apply a full listing of the store and return the number of changed items."""
         before = self.replica.at
-        fresh = self.replica.replace(items, at)
-        self._apply(before, fresh, failure_age_s, source)
-        return len(fresh)
+        changed = self.replica.replace(items, at)
+        self._apply(before, changed, failure_age_s, source)
+        return len(changed)
 
     def apply_changes(
         self,
@@ -95,26 +97,26 @@
         failure_age_s: float,
         source: str,
     ) -> None:
-        """Take changes of the store."""
+        """Apply changes of the store."""
         before = self.replica.at
         self._apply(before, self.replica.merge(items, at), failure_age_s, source)
 
     def apply_delta(
         self, delta: ReplicaDelta, failure_age_s: float, source: str
     ) -> None:
-        """Take what a peer gave."""
+        """Apply a delta from a peer."""
         before = self.replica.at
         self._apply(before, self.replica.apply_delta(delta), failure_age_s, source)
 
     def expire(self) -> None:
-        """Drop servers whose entries have not come back, and idle connections."""
+        """Drop lapsed servers and idle connections, and apply deferred facts."""
         self._pool.prune()
         now = self._clock()
         for server in self._dispatcher.expire(now):
-            self._note_gone(server, "lapsed", 0)
-        for key, row in list(self._doubted.items()):
+            self._forget_server(server, "lapsed", 0)
+        for key, row in list(self._deferred.items()):
             if now >= row.due:
-                del self._doubted[key]
+                del self._deferred[key]
                 self._take(row.fact, row.revision, row.failure_age_s, row.source)
 
     def _apply(
@@ -124,18 +126,18 @@
         failure_age_s: float,
         source: str,
     ) -> None:
-        self._note_era(before, source)
-        # A return is an outage, also where no call fell into it.
-        failure_age_s = min(failure_age_s, self._clock() - self._returned_at)
+        self._check_era(before, source)
+        # The return of the store counts as an outage even if no access failed.
+        failure_age_s = min(failure_age_s, self._clock() - self._restored_at)
         for item in items:
             fact = self._store.decode(item)
-            self._doubted.pop(item.key, None)
+            self._deferred.pop(item.key, None)
             if fact is None:
                 continue
-            if self._doubts(fact):
-                due = self._returned_at + REWRITE_S
+            if self._may_be_outdated(fact):
+                due = self._restored_at + REWRITE_S
                 revision = revision_of(item.revision)
-                self._doubted[item.key] = _Doubted(
+                self._deferred[item.key] = _DeferredFact(
                     fact, revision, failure_age_s, source, due
                 )
             else:
@@ -144,11 +146,11 @@
             self._dispatcher.registry.note_listed()
             self.on_change()
 
-    def _note_era(self, before: Position, source: str) -> None:
-        """Note that the store came back from an older copy of itself."""
+    def _check_era(self, before: Position, source: str) -> None:
+        """Record and log that the store was restored from an older copy."""
         era = era_of(self.replica.at)
         if before and era > era_of(before):
-            self._returned_at = self._clock()
+            self._restored_at = self._clock()
             emit(
                 logger,
                 Event.STORE_RETURNED_OLDER,
@@ -158,13 +160,13 @@
                 source=source,
             )
 
-    def _doubts(self, fact: Fact) -> bool:
-        """Tell whether the store may say this only because it lost what came after.
+    def _may_be_outdated(self, fact: Fact) -> bool:
+        """Return whether a fact may come from an older copy that lost later changes.
 
-        A server that left and a data centre that is to get nothing bind from their
-        acknowledgement on, which the store's return doesn't take back.
+        Once acknowledged, the removal of a server or the exclusion of a data centre is
+        binding, also after the store was restored from an older copy.
         """
-        if self._clock() - self._returned_at >= REWRITE_S:
+        if self._clock() - self._restored_at >= REWRITE_S:
             return False
         registry = self._dispatcher.registry
         if isinstance(fact, CentreFact):
@@ -175,16 +177,16 @@
         self, fact: Fact, revision: int, failure_age_s: float, source: str
     ) -> None:
         if isinstance(fact, CatalogFact):
-            self._take_catalog(fact.catalog, revision, source)
+            self._apply_catalog(fact.catalog, revision, source)
         elif isinstance(fact, InstanceFact):
-            self._take_instance(fact.instance, revision, source)
+            self._apply_instance(fact.instance, revision, source)
         elif isinstance(fact, InstanceRemovedFact):
-            self._take_gone(fact, revision, failure_age_s)
+            self._apply_removal(fact, revision, failure_age_s)
         elif isinstance(fact, CentreFact):
-            self._take_centre(fact, revision, source)
+            self._apply_centre(fact, revision, source)
         elif isinstance(fact, UnusableFact):
             if fact.server:
-                self._take_gone(
+                self._apply_removal(
                     InstanceRemovedFact(fact.server), revision, failure_age_s
                 )
             emit(
@@ -196,7 +198,7 @@
                 source=source,
             )
 
-    def _take_catalog(self, catalog: Catalog, revision: int, source: str) -> None:
+    def _apply_catalog(self, catalog: Catalog, revision: int, source: str) -> None:
         before = self.catalog.version
         if catalog.version <= before:
             emit(logger, Event.TABLES_LOWER, version=catalog.version, current=before)
@@ -223,7 +225,7 @@
         )
         self.on_catalog(catalog)
 
-    def _take_instance(self, instance: Instance, revision: int, source: str) -> None:
+    def _apply_instance(self, instance: Instance, revision: int, source: str) -> None:
         now = self._clock()
         if self._dispatcher.registry.put(instance, now):
             self._dispatcher.restarted(instance.id)
@@ -240,20 +242,20 @@
             source=source,
         )
 
-    def _take_gone(
+    def _apply_removal(
         self, fact: InstanceRemovedFact, revision: int, failure_age_s: float
     ) -> None:
         registry = self._dispatcher.registry
         if registry.remove(
             fact.server, self._clock(), store_failure_age_s=failure_age_s
         ):
-            self._note_gone(fact.server, "removed", revision)
+            self._forget_server(fact.server, "removed", revision)
 
-    def _note_gone(self, server: str, cause: str, revision: int) -> None:
+    def _forget_server(self, server: str, cause: str, revision: int) -> None:
         self._pool.forget(server)
         emit(logger, Event.SERVER_GONE, server=server, cause=cause, revision=revision)
 
-    def _take_centre(self, fact: CentreFact, revision: int, source: str) -> None:
+    def _apply_centre(self, fact: CentreFact, revision: int, source: str) -> None:
         registry = self._dispatcher.registry
         was_left = fact.data_centre in registry.centres_left
         if fact.excluded == was_left:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
@@ -1,10 +1,11 @@
-"""Know requests that end the servers which run them, and keep them off the others.
-
-Pattern of load: a request crashes each server that begins it and comes again at any
-router, each time under a new id. Dozens of other calls go down with it, so one end
-proves nothing against any of them. What proves it is ends of different servers without
-a single run that ended well. Each router counts them for itself and tells peers, whose
-ends it adds: one that sees the third knows of the first two.
+"""Detect requests that crash the servers which run them, and stop sending them.
+
+Pattern of load: a request crashes each server that starts it, and the caller repeats
+it through any router, each time with a new request id. Each crash breaks dozens of
+other calls too, so one crash does not identify the request. Crashes of several servers
+without a single successful run do. Each router counts the crashes that it sees, sends
+them to its peers and adds those that it receives: the router that sees the third crash
+already knows of the first two.
 """
 
 from __future__ import annotations
@@ -20,97 +21,111 @@
 from fulmarroad.types import ServerName
 from fulmarroad_serving._fingerprints import Fingerprint
 
-BAR_S = 600.0
-"""Time for which a request is kept off servers after its third end; then one router
-tries it once. Each further end doubles it."""
+BAR_DURATION_S = 600.0
+"""Time for which a request is not sent to servers after its third crash.
+
+Then one router tries it once. Each further crash doubles the time.
+"""
+
+RETENTION_S = 86_400.0
+"""Time after its last crash at which the record of a request is dropped."""
 
-KEPT_S = 86_400.0
-"""Time after its last end at which a request is forgotten."""
+SUCCESS_WINDOW_S = 10.0
+"""Time after a successful run in which crashes are not counted against the request.
 
-GOOD_S = 10.0
-"""Time after a good run in which ends don't count: a body that many send at once is at
-every server that ends, and copies of it may be at several that end together."""
+Copies of a popular request run on every server that crashes, and may run on several
+servers that crash at the same time.
+"""
 
 TRIAL_S = 1.0
-"""Time for which a run of a suspect is believed to go on elsewhere: it waits and runs
-for less before it ends a server."""
+"""Time for which a run of a suspect that a peer reported counts as in progress.
+
+A request that crashes servers waits and runs for less time before the crash.
+"""
 
-ANSWERING_S = 0.5
-"""Time for which a request was being answered, from which on an end of its server isn't
-laid to it: one that ends servers does so as they begin it."""
+MAX_SUSPECT_ANSWERING_S = 0.5
+"""Time of answering after which a crash is no longer attributed to the request.
+
+A request that crashes servers does so when they start it.
+"""
 
 MAX_RECORDS = 512
-"""Suspects kept, about 0.3 MB; the least certain and oldest go first."""
+"""Maximum number of suspects kept, about 0.3 MB.
+
+Those with the fewest crashes are dropped first, then the oldest.
+"""
 
-MOST_GOOD = 1_024
-"""Requests remembered that ended well: over a minute of one router's calls."""
+MAX_SUCCESSES = 1_024
+"""Maximum number of successful requests kept: over a minute of one router's calls."""
 
-MOST_ENDS = 8
-"""Ends kept of one request, the newest; more change nothing."""
+MAX_CRASHES_PER_RECORD = 8
+"""Maximum number of crashes kept per request, the newest; more make no difference."""
 
-TELLINGS = 6
-"""Packets in which a change is told: fewer may all be lost."""
+PACKETS_PER_UPDATE = 6
+"""Number of packets in which a change is sent; with fewer, all might be lost."""
 
-RETELL_S = 1.0
-"""Time between two tellings of what hasn't changed, for routers that were cut off."""
+REFRESH_INTERVAL_S = 1.0
+"""Interval at which unchanged records are sent again, for routers that were cut off."""
 
-LEAST_NEWER_S = 0.5
-"""Difference in time below which two routers' words are the same news."""
+MIN_TIME_DIFFERENCE_S = 0.5
+"""Time difference up to which two routers' reports count as the same event."""
 
 CrashId = int
-"""Stands for one start of a server that ended."""
+"""Identifies the crash of one start of a server."""
 
 
 class SuspectState(enum.IntEnum):
-    """Say what may be done with a request, by the servers that ended under it."""
+    """State how a request may be run, by the number of servers that it crashed."""
 
     CLEAR = 0
-    SERIALIZED = 1  # one copy at a time over the fleet
-    ISOLATED = 2  # at a server without another such, and not repeated by the router
+    SERIALIZED = 1  # one copy at a time in the fleet
+    ISOLATED = 2  # on a server without another such request, and not retried
     BARRED = 3  # not sent
 
 
 @frozen
 class SuspectRow:
-    """Hold what routers tell each other of one request; ages in seconds."""
+    """Hold the state of one suspect as sent between routers; ages in seconds."""
 
     fingerprint: Fingerprint
     ends: tuple[tuple[CrashId, float], ...]
-    success_age_s: float | None = None  # since a run of it ended well
-    trial: tuple[CrashId, float] | None = None  # start of a server that runs it now
+    success_age_s: float | None = None  # since its last successful run
+    trial: tuple[CrashId, float] | None = None  # server start that runs it now, and age
 
 
 @define
 class _Record:
-    ends: dict[CrashId, float] = field(factory=dict)  # when each server ended
-    good_at: float = -math.inf
-    trial_at: float = -math.inf
-    trial_at_server: CrashId = 0
+    ends: dict[CrashId, float] = field(factory=dict)  # time of each crash
+    success_at: float = -math.inf
+    trial_started_at: float = -math.inf
+    trial_server: CrashId = 0
 
     @property
-    def last_at(self) -> float:
+    def last_crash_at(self) -> float:
         return max(self.ends.values(), default=-math.inf)
 
     def count(self) -> int:
-        """Return the servers that ended under it without a good run about then."""
-        return sum(1 for at in self.ends.values() if at > self.good_at + GOOD_S)
+        """Return the number of crashes since the window of the last success."""
+        return sum(
+            1 for at in self.ends.values() if at > self.success_at + SUCCESS_WINDOW_S
+        )
 
-    def add(self, end: CrashId, at: float) -> bool:
-        """Take an end in; tell whether it is news."""
-        if end in self.ends:
+    def add_crash(self, crash: CrashId, at: float) -> bool:
+        """Add a crash and return whether it was unknown."""
+        if crash in self.ends:
             return False
-        self.ends[end] = at
-        if len(self.ends) > MOST_ENDS:
+        self.ends[crash] = at
+        if len(self.ends) > MAX_CRASHES_PER_RECORD:
             oldest = min(self.ends, key=self.ends.__getitem__)
             del self.ends[oldest]
-            if oldest == end:
+            if oldest == crash:
                 return False
-        self.trial_at = -math.inf
+        self.trial_started_at = -math.inf
         return True
 
 
 def crash_id(server: ServerName, started_ms: int) -> CrashId:
-    """Return what stands for the end of one start of a server."""
+    """Return the id of the crash of a server that was started at `started_ms`."""
     return xxhash.xxh3_64_intdigest(f"{server}\0{started_ms}".encode())
 
 
@@ -123,18 +138,18 @@
 
 
 class Suspects:
-    """Hold the requests under which servers ended, as far as this router knows."""
+    """Hold the known requests that ran on servers as they crashed."""
 
     def __init__(self) -> None:
         self._records: dict[Fingerprint, _Record] = {}
-        self._good: OrderedDict[Fingerprint, float] = OrderedDict()
+        self._successes: OrderedDict[Fingerprint, float] = OrderedDict()
         self._running: dict[Fingerprint, int] = {}
-        self._untold: dict[Fingerprint, int] = {}
-        self._retold_at = -math.inf
+        self._pending_updates: dict[Fingerprint, int] = {}
+        self._refreshed_at = -math.inf
         self.on_change: Callable[[], None] = _ignore
-        """Called when peers should hear of something at once."""
+        """Called when an update should be sent to peers at once."""
         self.on_barred: Callable[[Fingerprint, int], None] = _ignore_barred
-        """Called when a request is barred here, with the ends known."""
+        """Called with a request that becomes barred and its number of crashes."""
 
     def suspect_state(self, fingerprint: Fingerprint, now: float) -> SuspectState:
         """Return what may be done with a request."""
@@ -144,20 +159,20 @@
         ends = record.count()
         if ends < SuspectState.BARRED:
             return SuspectState(ends)
-        bar_s = BAR_S * 2 ** (ends - SuspectState.BARRED)
+        duration_s = BAR_DURATION_S * 2 ** (ends - SuspectState.BARRED)
         return (
             SuspectState.BARRED
-            if now - record.last_at < bar_s
+            if now - record.last_crash_at < duration_s
             else SuspectState.ISOLATED
         )
 
     def ends(self, fingerprint: Fingerprint) -> int:
-        """Return how many servers ended under a request, as far as known."""
+        """Return the known number of servers that crashed while running a request."""
         record = self._records.get(fingerprint)
         return record.count() if record is not None else 0
 
     def barred(self, now: float) -> dict[Fingerprint, int]:
-        """Return the requests that are barred, each with its ends."""
+        """Return the barred requests, each with its number of crashes."""
         return {
             name: record.count()
             for name, record in self._records.items()
@@ -165,119 +180,125 @@
         }
 
     def tried(self, fingerprint: Fingerprint, now: float) -> bool:
-        """Tell whether a copy of a suspect runs here, or elsewhere as far as known."""
+        """Return whether a copy of a suspect is known to run, here or elsewhere."""
         if self._running.get(fingerprint):
             return True
         record = self._records.get(fingerprint)
-        return record is not None and now - record.trial_at < TRIAL_S
+        return record is not None and now - record.trial_started_at < TRIAL_S
 
     def trial_servers(self, now: float) -> set[CrashId]:
-        """Return the servers that run what others with two ends are kept away from."""
+        """Return the servers that run an isolated request.
+
+        Other isolated requests must not be sent to them.
+        """
         return {
-            record.trial_at_server
+            record.trial_server
             for record in self._records.values()
-            if now - record.trial_at < TRIAL_S
+            if now - record.trial_started_at < TRIAL_S
             and record.count() >= SuspectState.ISOLATED
         }
 
     def begin(self, fingerprint: Fingerprint, server: CrashId, now: float) -> None:
-        """Note that a request is about to be sent; peers hear of a suspect."""
+        """Record that a request is about to be sent; report it to peers if suspect."""
         self._running[fingerprint] = self._running.get(fingerprint, 0) + 1
         record = self._records.get(fingerprint)
         if record is not None and record.count():
-            record.trial_at, record.trial_at_server = now, server
-            self._tell(fingerprint)
+            record.trial_started_at, record.trial_server = now, server
+            self._schedule_update(fingerprint)
 
     def end(self, fingerprint: Fingerprint) -> None:
-        """Note that a request that was sent is over."""
-        left = self._running.pop(fingerprint) - 1
-        if left:
-            self._running[fingerprint] = left
+        """Record that a request that was sent has finished."""
+        remaining = self._running.pop(fingerprint) - 1
+        if remaining:
+            self._running[fingerprint] = remaining
         elif record := self._records.get(fingerprint):
-            record.trial_at = -math.inf
+            record.trial_started_at = -math.inf
 
     def note_success(self, fingerprint: Fingerprint, now: float) -> None:
-        """Note a run that ended well: it lets the request off."""
-        self._good[fingerprint] = now
-        self._good.move_to_end(fingerprint)
-        if len(self._good) > MOST_GOOD:
-            self._good.popitem(last=False)
+        """Record a successful run, which clears earlier crashes of the request."""
+        self._successes[fingerprint] = now
+        self._successes.move_to_end(fingerprint)
+        if len(self._successes) > MAX_SUCCESSES:
+            self._successes.popitem(last=False)
         record = self._records.get(fingerprint)
         if record is None:
             return
-        stale = now - record.good_at > GOOD_S / 2
-        record.good_at = now
-        record.trial_at = -math.inf
-        if stale:
-            self._tell(fingerprint)
+        extends_window = now - record.success_at > SUCCESS_WINDOW_S / 2
+        record.success_at = now
+        record.trial_started_at = -math.inf
+        if extends_window:
+            self._schedule_update(fingerprint)
 
     def note_crash(
         self,
         fingerprint: Fingerprint,
-        end: CrashId,
+        crash: CrashId,
         now: float,
         *,
         answered_s: float = 0.0,
     ) -> None:
-        """Note that a server ended that had answered a request for some seconds."""
-        if answered_s >= ANSWERING_S:
+        """Record that a server crashed while it ran a request.
+
+        `answered_s` is the time since the start of its answer, in seconds.
+        """
+        if answered_s >= MAX_SUSPECT_ANSWERING_S:
             return
         record = self._record(fingerprint, now)
         before = record.count()
-        if record.add(end, now):
+        if record.add_crash(crash, now):
             self._note_barred(fingerprint, record, before)
-            self._tell(fingerprint)
+            self._schedule_update(fingerprint)
 
-    # what peers hear, and say
+    # exchange with peers
 
     def pop_updates(self, most: int, now: float) -> tuple[SuspectRow, ...]:
-        """Return what the next packet tells, at most so many rows."""
-        if now - self._retold_at >= RETELL_S:
-            self._retold_at = now
-            self._forget(now)
+        """Return the rows for the next packet, `most` at most."""
+        if now - self._refreshed_at >= REFRESH_INTERVAL_S:
+            self._refreshed_at = now
+            self._drop_expired(now)
             for name, record in self._records.items():
                 if record.count() >= SuspectState.ISOLATED:
-                    self._untold.setdefault(name, 1)
-        if not self._untold:
+                    self._pending_updates.setdefault(name, 1)
+        if not self._pending_updates:
             return ()
-        chosen = sorted(self._untold, key=self._urgency)[:most]
+        chosen = sorted(self._pending_updates, key=self._update_order)[:most]
         for name in chosen:
-            self._untold[name] -= 1
-            if not self._untold[name]:
-                del self._untold[name]
+            self._pending_updates[name] -= 1
+            if not self._pending_updates[name]:
+                del self._pending_updates[name]
         return tuple(self._row(name, now) for name in chosen)
 
     def merge_rows(
         self, rows: Iterable[SuspectRow], now: float, *, relay: bool = False
     ) -> None:
-        """Take in what a peer tells, to be told on by whom others hear it from."""
+        """Merge rows from a peer; with `relay`, forward those that bring changes."""
         for row in rows:
             record = self._record(row.fingerprint, now)
             before = record.count()
-            is_news = False
+            is_new = False
             if row.success_age_s is not None:
-                good_at = now - row.success_age_s
-                is_news = good_at > record.good_at + LEAST_NEWER_S
-                record.good_at = max(record.good_at, good_at)
-            for end, age_s in row.ends:
-                is_news = record.add(end, now - age_s) or is_news
+                success_at = now - row.success_age_s
+                is_new = success_at > record.success_at + MIN_TIME_DIFFERENCE_S
+                record.success_at = max(record.success_at, success_at)
+            for crash, age_s in row.ends:
+                is_new = record.add_crash(crash, now - age_s) or is_new
             if row.trial is not None:
                 server, age_s = row.trial
-                if now - age_s > record.trial_at + LEAST_NEWER_S:
-                    record.trial_at, record.trial_at_server = now - age_s, server
-                    is_news = True
-            if is_news:
+                if now - age_s > record.trial_started_at + MIN_TIME_DIFFERENCE_S:
+                    record.trial_started_at, record.trial_server = now - age_s, server
+                    is_new = True
+            if is_new:
                 self._note_barred(row.fingerprint, record, before)
-            if is_news and relay:
-                self._tell(row.fingerprint)
+            if is_new and relay:
+                self._schedule_update(row.fingerprint)
 
     def _record(self, fingerprint: Fingerprint, now: float) -> _Record:
         record = self._records.get(fingerprint)
         if record is None:
             if len(self._records) >= MAX_RECORDS:
-                self._drop_uncertain()
-            good_at = self._good.get(fingerprint, -math.inf)
-            record = self._records[fingerprint] = _Record(good_at=good_at)
+                self._drop_least_certain()
+            success_at = self._successes.get(fingerprint, -math.inf)
+            record = self._records[fingerprint] = _Record(success_at=success_at)
         return record
 
     def _note_barred(
@@ -287,39 +308,41 @@
         if before < SuspectState.BARRED <= after:
             self.on_barred(fingerprint, after)
 
-    def _tell(self, fingerprint: Fingerprint) -> None:
-        self._untold[fingerprint] = TELLINGS
+    def _schedule_update(self, fingerprint: Fingerprint) -> None:
+        self._pending_updates[fingerprint] = PACKETS_PER_UPDATE
         self.on_change()
 
-    def _urgency(self, fingerprint: Fingerprint) -> tuple[int, int]:
-        """Order what is untold: told least often first, then the most certain."""
+    def _update_order(self, fingerprint: Fingerprint) -> tuple[int, int]:
+        """Return the sort key of an update: least often sent, then most crashes."""
         count = self._records[fingerprint].count()
-        return -self._untold[fingerprint], -count
+        return -self._pending_updates[fingerprint], -count
 
-    def _certainty(self, fingerprint: Fingerprint) -> tuple[int, float]:
+    def _retention_order(self, fingerprint: Fingerprint) -> tuple[int, float]:
         record = self._records[fingerprint]
-        return record.count(), record.last_at
+        return record.count(), record.last_crash_at
 
     def _row(self, fingerprint: Fingerprint, now: float) -> SuspectRow:
         record = self._records[fingerprint]
-        ends = tuple((end, now - at) for end, at in record.ends.items())
-        good = now - record.good_at if record.good_at > -math.inf else None
+        ends = tuple((crash, now - at) for crash, at in record.ends.items())
+        success_age_s = (
+            now - record.success_at if record.success_at > -math.inf else None
+        )
         trial = None
-        if now - record.trial_at < TRIAL_S:
-            trial = (record.trial_at_server, now - record.trial_at)
-        return SuspectRow(fingerprint, ends, good, trial)
+        if now - record.trial_started_at < TRIAL_S:
+            trial = (record.trial_server, now - record.trial_started_at)
+        return SuspectRow(fingerprint, ends, success_age_s, trial)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         for name, record in list(self._records.items()):
-            if now - max(record.last_at, record.trial_at) >= KEPT_S:
+            if now - max(record.last_crash_at, record.trial_started_at) >= RETENTION_S:
                 self._drop(name)
 
-    def _drop_uncertain(self) -> None:
-        """Make room for many at once: an end of a server brings a hundred."""
-        least = sorted(self._records, key=self._certainty)
-        for name in least[: MAX_RECORDS // 4]:
+    def _drop_least_certain(self) -> None:
+        """Drop a quarter of the records at once, as each crash adds a hundred."""
+        by_certainty = sorted(self._records, key=self._retention_order)
+        for name in by_certainty[: MAX_RECORDS // 4]:
             self._drop(name)
 
     def _drop(self, fingerprint: Fingerprint) -> None:
         del self._records[fingerprint]
-        self._untold.pop(fingerprint, None)
+        self._pending_updates.pop(fingerprint, None)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_outcomes.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_outcomes.py
@@ -1,9 +1,9 @@
-"""Count how the calls of each workspace end at one router, second by second.
+"""Count the outcomes of each workspace's calls at one router, second by second.
 
 Pattern of load: thousands of refusals at the one router that a large caller uses. The
-lines of single calls are dropped there first, and nobody could tell afterwards which
-workspace was turned away, for which cause and against which share. So their numbers
-are told in few lines, which go ahead of those.
+log drops the lines of single calls first, so they could not show which workspace was
+refused, for which reason and against which share. The counts need few lines, and the
+log keeps these in preference to the lines of calls.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 ON_TIME = "on_time"
 LATE = "late"
 
-BY_LOAD = frozenset(
+LOAD_REFUSALS = frozenset(
     {
         RefusalReason.ABOVE_SHARE.value,
         RefusalReason.ROUTER_BUSY.value,
         RefusalReason.WAIT_TOO_LONG.value,
     }
 )
-"""Outcomes by which a workspace got less than it asked for."""
+"""Refusals through which a workspace gets less capacity than it requested."""
 
 REPORT_INTERVAL_S = 1.0
 MAX_REPORTED = 4
-"""Workspaces told at a time, those that were turned away most often."""
+"""Maximum number of workspaces in one report, those with the most refusals."""
 
 
 @frozen
-class TurnedAway:
-    """Say how a workspace's calls ended within a time in which some were refused."""
+class RefusedWorkspace:
+    """Hold the outcomes of a workspace's calls in an interval with refusals."""
 
     workspace: WorkspaceName
     ends: Mapping[str, int]  # calls by outcome
@@ -42,26 +42,27 @@
 
 @define
 class WorkspaceOutcomes:
-    """Count calls until they are told."""
+    """Count calls by workspace and outcome until they are reported."""
 
-    _since: float = 0.0
-    _ends: dict[WorkspaceName, Counter[str]] = field(factory=dict)
+    _interval_start: float = 0.0
+    _counts: dict[WorkspaceName, Counter[str]] = field(factory=dict)
 
     def note(self, workspace: WorkspaceName, outcome: str) -> None:
-        """Count a call that ended."""
-        self._ends.setdefault(workspace, Counter())[outcome] += 1
+        """Count a finished call."""
+        self._counts.setdefault(workspace, Counter())[outcome] += 1
 
-    def pop_refusals(self, now: float) -> list[TurnedAway]:
-        """Return whom to tell of now, if anybody, and begin to count anew."""
-        if now - self._since < REPORT_INTERVAL_S:
+    def pop_refusals(self, now: float) -> list[RefusedWorkspace]:
+        """Return the workspaces to report if a report is due, and reset the counts."""
+        if now - self._interval_start < REPORT_INTERVAL_S:
             return []
-        ends, self._ends, self._since = self._ends, {}, now
-        refused = {name: _refused(counts) for name, counts in ends.items()}
+        ends, self._counts, self._interval_start = self._counts, {}, now
+        refused = {name: _count_refusals(counts) for name, counts in ends.items()}
         names = sorted(filter(refused.__getitem__, refused), key=refused.__getitem__)
         return [
-            TurnedAway(name, dict(ends[name])) for name in names[::-1][:MAX_REPORTED]
+            RefusedWorkspace(name, dict(ends[name]))
+            for name in names[::-1][:MAX_REPORTED]
         ]
 
 
-def _refused(counts: Mapping[str, int]) -> int:
-    return sum(counts.get(outcome, 0) for outcome in BY_LOAD)
+def _count_refusals(counts: Mapping[str, int]) -> int:
+    return sum(counts.get(outcome, 0) for outcome in LOAD_REFUSALS)
--- a/packages/fulmarroad-serving/tests/fleet_bed.py
+++ b/packages/fulmarroad-serving/tests/fleet_bed.py
@@ -1,4 +1,4 @@
-"""Routers that talk to each other in virtual time, without sockets."""
+"""Simulated routers that exchange reports in virtual time, without sockets."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 @define
 class Router:
-    """One router with its calls at a server, and whether it runs."""
+    """Hold a simulated router, its number of running calls and whether it is up."""
 
     view: FleetView
     dispatcher: Dispatcher
@@ -30,7 +30,10 @@
 
 @define
 class FleetBed:
-    """A fleet that talks in ticks; packets may be lost, centres cut off."""
+    """Simulate a fleet that exchanges packets in ticks.
+
+    A share `loss` of the packets is lost, and the data centre `cut` is cut off.
+    """
 
     size: int
     loss: float = 0.0
@@ -84,34 +87,34 @@
     def _packets(self, router):
         router.sequence += 1
         view, now = router.view, self.now
-        whole = view.complete_report(self.report(router.host), now)
+        report = view.complete_report(self.report(router.host), now)
         hosts = view.receivers(self.seeds, router.sequence, now)
-        rows = [(pack_report(whole), hosts)]
+        rows = [(pack_report(report), hosts)]
         for digest, followers in view.digests(now):
             rows.append((pack_digest(digest), followers))
         return rows
 
     def _deliver(self, sender, host, data):
         self.packets += 1
-        to = self.routers.get(host)
-        if to is None or not to.alive or self._random.random() < self.loss:
+        receiver = self.routers.get(host)
+        if receiver is None or not receiver.alive or self._random.random() < self.loss:
             return
-        if self.cut and (sender.centre == self.cut) != (to.centre == self.cut):
+        if self.cut and (sender.centre == self.cut) != (receiver.centre == self.cut):
             return
         row = msgpack.unpackb(data)
         if is_digest(row):
-            to.view.receive_digest(read_digest(row), self.now)
+            receiver.view.receive_digest(read_digest(row), self.now)
         else:
-            to.view.receive_report(read_report(row), self.now)
+            receiver.view.receive_report(read_report(row), self.now)
 
     def run(self, seconds):
         for _ in range(round(seconds / TICK_S)):
             self.tick()
 
     def errors(self):
-        """Return how far each router is off the calls that really run."""
+        """Return each router's count of running calls minus the true count."""
         alive = [row for row in self.routers.values() if row.alive]
-        true = sum(row.running for row in alive)
+        actual = sum(row.running for row in alive)
         return [
-            row.dispatcher.load("s").total_running(self.now) - true for row in alive
+            row.dispatcher.load("s").total_running(self.now) - actual for row in alive
         ]
--- a/packages/fulmarroad-serving/tests/test_digests.py
+++ b/packages/fulmarroad-serving/tests/test_digests.py
@@ -20,7 +20,7 @@
     read_digest,
     sum_reports,
 )
-from fulmarroad_serving._fleet_view import KNOWN_EVERY, MAX_DIRECT_PEERS
+from fulmarroad_serving._fleet_view import MAX_DIRECT_PEERS, REPORTS_PER_MEMBER_LIST
 from fulmarroad_serving._load import PeerLoad
 from fulmarroad_serving._reports import (
     Member,
@@ -306,9 +306,9 @@
         bed.run(1.5)
         assert set(bed.errors()) == {0}
         view = bed.routers["h4"].view
-        assert not view.relayed
+        assert not view.uses_collectors
         assert view.digests(bed.now) == []
-        assert len(view.receivers((), KNOWN_EVERY + 1, bed.now)) == 8
+        assert len(view.receivers((), REPORTS_PER_MEMBER_LIST + 1, bed.now)) == 8
 
     def test_an_older_report_of_a_peer_changes_nothing(self):
         bed = FleetBed(2)
--- a/packages/fulmarroad-serving/tests/test_ended_servers.py
+++ b/packages/fulmarroad-serving/tests/test_ended_servers.py
@@ -7,7 +7,7 @@
 from serving_bed import CrashingServers, run
 
 from fulmarroad.events import Event
-from fulmarroad_serving._crash_detector import ONE_END_S, CrashDetector
+from fulmarroad_serving._crash_detector import CRASH_WINDOW_S, CrashDetector
 from fulmarroad_serving._fingerprints import fingerprint_of
 
 
@@ -128,7 +128,7 @@
             instance = bed.dispatcher.registry.get("s-1").instance
             ended = CrashDetector(bed.pool, bed.dispatcher.registry, bed.now)
             assert await ended.has_crashed(instance, bed.now())
-            bed.skipped_s += ONE_END_S + 0.1
+            bed.skipped_s += CRASH_WINDOW_S + 0.1
             assert not await ended.has_crashed(instance, bed.now())
 
         run(test)
--- a/packages/fulmarroad-serving/tests/test_suspects.py
+++ b/packages/fulmarroad-serving/tests/test_suspects.py
@@ -21,11 +21,11 @@
 from fulmarroad_serving._fleet_view import MAX_SUSPECTS
 from fulmarroad_serving._reports import pack_report, read_report, unpack_report
 from fulmarroad_serving._suspects import (
-    ANSWERING_S,
-    BAR_S,
-    GOOD_S,
-    KEPT_S,
+    BAR_DURATION_S,
     MAX_RECORDS,
+    MAX_SUSPECT_ANSWERING_S,
+    RETENTION_S,
+    SUCCESS_WINDOW_S,
     TRIAL_S,
     SuspectRow,
     Suspects,
@@ -92,7 +92,7 @@
         suspects = with_ends(1.0, 2.0)
         suspects.note_success(POISON, 3.0)
         assert suspects.suspect_state(POISON, 3.0) is SuspectState.CLEAR
-        suspects.note_crash(POISON, 7, 3.0 + GOOD_S + 1)
+        suspects.note_crash(POISON, 7, 3.0 + SUCCESS_WINDOW_S + 1)
         assert suspects.suspect_state(POISON, 30.0) is SuspectState.SERIALIZED
 
     def test_a_body_that_many_send_is_not_barred_when_servers_end_together(self):
@@ -110,19 +110,23 @@
         that still ends them must not end three each time.
         """
         suspects = with_ends(1.0, 1.1, 1.2)
-        later = 1.2 + BAR_S
+        later = 1.2 + BAR_DURATION_S
         assert suspects.suspect_state(POISON, later - 1) is SuspectState.BARRED
         assert suspects.suspect_state(POISON, later) is SuspectState.ISOLATED
         suspects.note_crash(POISON, 3, later)
-        assert suspects.suspect_state(POISON, later + BAR_S) is SuspectState.BARRED
         assert (
-            suspects.suspect_state(POISON, later + 2 * BAR_S) is SuspectState.ISOLATED
+            suspects.suspect_state(POISON, later + BAR_DURATION_S)
+            is SuspectState.BARRED
+        )
+        assert (
+            suspects.suspect_state(POISON, later + 2 * BAR_DURATION_S)
+            is SuspectState.ISOLATED
         )
 
     def test_a_request_is_forgotten_in_the_end(self):
         suspects = with_ends(1.0)
-        suspects.pop_updates(MAX_SUSPECTS, 1.0 + KEPT_S)
-        assert suspects.suspect_state(POISON, 1.0 + KEPT_S) is SuspectState.CLEAR
+        suspects.pop_updates(MAX_SUSPECTS, 1.0 + RETENTION_S)
+        assert suspects.suspect_state(POISON, 1.0 + RETENTION_S) is SuspectState.CLEAR
 
     def test_the_certain_ones_are_kept_when_there_are_too_many(self):
         """Each end of a server makes a hundred suspects. Pushed out by them, a request
@@ -277,7 +281,7 @@
             told |= {
                 host
                 for host, row in bed.routers.items()
-                if row.view._last.suspects and not row.view.is_collector(bed.now)
+                if row.view._last_report.suspects and not row.view.is_collector(bed.now)
             }
         assert told == {first}
         standings = {
@@ -444,13 +448,15 @@
         """
         suspects = Suspects()
         for end in range(3):
-            suspects.note_crash(POISON, end, 1.0, answered_s=ANSWERING_S)
+            suspects.note_crash(POISON, end, 1.0, answered_s=MAX_SUSPECT_ANSWERING_S)
         assert suspects.suspect_state(POISON, 1.0) is SuspectState.CLEAR
 
     def test_one_that_ends_its_server_with_its_first_part_is(self):
         suspects = Suspects()
         for end in range(3):
-            suspects.note_crash(POISON, end, 1.0, answered_s=ANSWERING_S / 2)
+            suspects.note_crash(
+                POISON, end, 1.0, answered_s=MAX_SUSPECT_ANSWERING_S / 2
+            )
         assert suspects.suspect_state(POISON, 1.0) is SuspectState.BARRED
 
 
@@ -505,7 +511,7 @@
             async def script(arrival, writer):
                 writer.write(stream_head(arrival.header("x-id")) + chunk(event(1)))
                 await writer.drain()
-                await anyio.sleep(ANSWERING_S + more_s)
+                await anyio.sleep(MAX_SUSPECT_ANSWERING_S + more_s)
                 bed._servers[0].close()
                 return False
 
