--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
@@ -92,11 +92,11 @@
     """Hold a sum that a collector sent and the time of its receipt."""
 
     total: ReportSum
-    received_at: float
+    at: float
     senders: dict[RouterName, float] = field(factory=dict)
 
     def is_fresh(self, now: float) -> bool:
-        return now - self.received_at < MAX_REPORT_AGE_S
+        return now - self.at < MAX_REPORT_AGE_S
 
 
 class FleetView:
@@ -241,9 +241,9 @@
         self._digest_count += 1
         centre_sum = sum_reports([(self._last_report, 0.0), *self._centre_reports(now)])
         remote_sums = [
-            (row.total, now - row.received_at) for row in self._fresh_centre_sums(now)
+            (row.total, now - row.at) for row in self._fresh_centre_sums(now)
         ]
-        fleet_sum = merge([(centre_sum, 0.0), *remote_sums])
+        fleet = merge([(centre_sum, 0.0), *remote_sums])
         parts = self._dispatcher.parts.pop_updates(MAX_DIGEST_PARTS)
         suspects = self._dispatcher.suspects.pop_updates(MAX_SUSPECTS, now)
         me = member_of(self._last_report, 0.0)
@@ -262,7 +262,7 @@
                 self._remote_collector_hosts(now),
             ),
             (
-                Digest(self._me, "", fleet_sum, (me, *members), parts, suspects),
+                Digest(self._me, "", fleet, (me, *members), parts, suspects),
                 self._centre_hosts(now),
             ),
         ]
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -72,9 +72,7 @@
     loads: Mapping[ServerName, PeerLoad] = field(factory=dict)
     counts: Mapping[WorkspaceName, WorkspaceCount] = field(factory=dict)
     known: tuple[Member, ...] = ()  # other routers
-    parts: tuple[
-        tuple[PartId, ServerName], ...
-    ] = ()  # sent to servers since the last report
+    parts: tuple[tuple[PartId, ServerName], ...] = ()  # sent since the last report
     suspects: tuple[SuspectRow, ...] = ()  # requests that may have crashed servers
 
 
@@ -131,12 +129,12 @@
     """
     return tuple(
         SuspectRow(
-            _read_fingerprint(fingerprint),
+            _read_fingerprint(name),
             tuple((int(end), _read_age(age)) for end, age in ends),
             None if success_age is None else _read_age(success_age),
             None if trial is None else _read_trial(trial),
         )
-        for fingerprint, ends, success_age, trial in rows
+        for name, ends, success_age, trial in rows
     )
 
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
@@ -110,15 +110,15 @@
             1 for at in self.ends.values() if at > self.success_at + SUCCESS_WINDOW_S
         )
 
-    def add_crash(self, crash: CrashId, at: float) -> bool:
+    def add_crash(self, end: CrashId, at: float) -> bool:
         """Add a crash and return whether it was unknown."""
-        if crash in self.ends:
+        if end in self.ends:
             return False
-        self.ends[crash] = at
+        self.ends[end] = at
         if len(self.ends) > MAX_CRASHES_PER_RECORD:
             oldest = min(self.ends, key=self.ends.__getitem__)
             del self.ends[oldest]
-            if oldest == crash:
+            if oldest == end:
                 return False
         self.trial_started_at = -math.inf
         return True
@@ -187,9 +187,9 @@
         return record is not None and now - record.trial_started_at < TRIAL_S
 
     def trial_servers(self, now: float) -> set[CrashId]:
-        """Return the servers that run an isolated request.
+        """Return the servers that run a request with two crashes or more.
 
-        Other isolated requests must not be sent to them.
+        Other such requests are not sent to them.
         """
         return {
             record.trial_server
@@ -208,9 +208,9 @@
 
     def end(self, fingerprint: Fingerprint) -> None:
         """Record that a request that was sent has finished."""
-        remaining = self._running.pop(fingerprint) - 1
-        if remaining:
-            self._running[fingerprint] = remaining
+        left = self._running.pop(fingerprint) - 1
+        if left:
+            self._running[fingerprint] = left
         elif record := self._records.get(fingerprint):
             record.trial_started_at = -math.inf
 
@@ -223,16 +223,16 @@
         record = self._records.get(fingerprint)
         if record is None:
             return
-        extends_window = now - record.success_at > SUCCESS_WINDOW_S / 2
+        stale = now - record.success_at > SUCCESS_WINDOW_S / 2
         record.success_at = now
         record.trial_started_at = -math.inf
-        if extends_window:
+        if stale:
             self._schedule_update(fingerprint)
 
     def note_crash(
         self,
         fingerprint: Fingerprint,
-        crash: CrashId,
+        end: CrashId,
         now: float,
         *,
         answered_s: float = 0.0,
@@ -245,7 +245,7 @@
             return
         record = self._record(fingerprint, now)
         before = record.count()
-        if record.add_crash(crash, now):
+        if record.add_crash(end, now):
             self._note_barred(fingerprint, record, before)
             self._schedule_update(fingerprint)
 
@@ -280,8 +280,8 @@
                 success_at = now - row.success_age_s
                 is_new = success_at > record.success_at + MIN_TIME_DIFFERENCE_S
                 record.success_at = max(record.success_at, success_at)
-            for crash, age_s in row.ends:
-                is_new = record.add_crash(crash, now - age_s) or is_new
+            for end, age_s in row.ends:
+                is_new = record.add_crash(end, now - age_s) or is_new
             if row.trial is not None:
                 server, age_s = row.trial
                 if now - age_s > record.trial_started_at + MIN_TIME_DIFFERENCE_S:
@@ -323,7 +323,7 @@
 
     def _row(self, fingerprint: Fingerprint, now: float) -> SuspectRow:
         record = self._records[fingerprint]
-        ends = tuple((crash, now - at) for crash, at in record.ends.items())
+        ends = tuple((end, now - at) for end, at in record.ends.items())
         success_age_s = (
             now - record.success_at if record.success_at > -math.inf else None
         )
--- a/packages/fulmarroad-serving/tests/fleet_bed.py
+++ b/packages/fulmarroad-serving/tests/fleet_bed.py
@@ -96,16 +96,16 @@
 
     def _deliver(self, sender, host, data):
         self.packets += 1
-        receiver = self.routers.get(host)
-        if receiver is None or not receiver.alive or self._random.random() < self.loss:
+        to = self.routers.get(host)
+        if to is None or not to.alive or self._random.random() < self.loss:
             return
-        if self.cut and (sender.centre == self.cut) != (receiver.centre == self.cut):
+        if self.cut and (sender.centre == self.cut) != (to.centre == self.cut):
             return
         row = msgpack.unpackb(data)
         if is_digest(row):
-            receiver.view.receive_digest(read_digest(row), self.now)
+            to.view.receive_digest(read_digest(row), self.now)
         else:
-            receiver.view.receive_report(read_report(row), self.now)
+            to.view.receive_report(read_report(row), self.now)
 
     def run(self, seconds):
         for _ in range(round(seconds / TICK_S)):
@@ -114,7 +114,7 @@
     def errors(self):
         """Return each router's count of running calls minus the true count."""
         alive = [row for row in self.routers.values() if row.alive]
-        actual = sum(row.running for row in alive)
+        true = sum(row.running for row in alive)
         return [
-            row.dispatcher.load("s").total_running(self.now) - actual for row in alive
+            row.dispatcher.load("s").total_running(self.now) - true for row in alive
         ]
--- a/packages/fulmarroad-serving/tests/test_digests.py
+++ b/packages/fulmarroad-serving/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""Reports of a large fleet, summed up on the way, in virtual time without sockets."""
+"""Tests of digests, and of the exchange of reports between simulated routers."""
 
 import contextlib
 
@@ -55,16 +55,18 @@
         assert total.counts == {"coop": WorkspaceCount(20.0, 10.0)}
         assert total.age_s == pytest.approx(0.1)
 
-    def test_the_age_is_the_average_of_all_routers(self):
+    def test_age_of_a_sum_is_the_average_over_all_routers(self):
         near = sum_reports([(report("a"), 0.0)])
         far = sum_reports([(report(name), 0.1) for name in "bcd"])
         assert merge([(near, 0.0), (far, 0.3)]).age_s == pytest.approx(0.3)
 
     @given(st.lists(st.integers(0, 50), min_size=1, max_size=12), st.integers(0, 11))
     @settings(derandomize=True, deadline=None)
-    def test_a_router_takes_exactly_its_own_report_out(self, loads, place):
-        """A router sends most of its calls to one engine. Counted once as its own and
-        once in the fleet's sum, they would make that engine look twice as loaded.
+    def test_a_router_subtracts_exactly_its_own_report(self, loads, place):
+        """Guard against counting a router's own calls twice.
+
+        A router sends most of its calls to one engine. Counted as its own and again in
+        the sum of the fleet, they would make the engine seem to have twice the load.
         """
         place %= len(loads)
         reports = [
@@ -75,12 +77,12 @@
         own.note(report(f"r{place}", sequence=99, running=1000))
         own.note(reports[place])
         total = sum_reports([(row, 0.0) for row in reports])
-        others = own.subtract_own(total, f"r{place}")
-        rest = sum(loads) - loads[place]
-        assert others.loads["s"] == PeerLoad(rest, rest)
-        assert others.counts["coop"].asked == rest
+        sum_of_others = own.subtract_own(total, f"r{place}")
+        expected = sum(loads) - loads[place]
+        assert sum_of_others.loads["s"] == PeerLoad(expected, expected)
+        assert sum_of_others.counts["coop"].asked == expected
 
-    def test_a_report_that_is_not_remembered_stays_in(self):
+    def test_an_own_report_no_longer_kept_is_not_subtracted(self):
         total = sum_reports([(report("a"), 0.0)])
         assert OwnReports().subtract_own(total, "a") == total
 
@@ -102,12 +104,12 @@
 
     REPORT = report("a")
 
-    def test_a_digest_is_read_as_it_was_written(self):
+    def test_a_digest_survives_encoding_and_decoding(self):
         row = unpack(pack_digest(self.DIGEST))
         assert is_digest(row)
         assert read_digest(row) == self.DIGEST
 
-    def test_a_report_is_no_digest(self):
+    def test_a_report_is_not_recognised_as_a_digest(self):
         assert not is_digest(unpack(pack_report(report("a"))))
         assert not is_digest([])
         assert not is_digest(None)
@@ -121,9 +123,11 @@
         ),
     )
     @settings(derandomize=True, deadline=None, max_examples=300)
-    def test_a_field_of_any_kind_is_read_or_told(self, whole, place, value):
-        """A packet of another release or sender holds something else in one field. Any
-        other error than the one that is told would end the task that reads packets.
+    def test_any_field_value_is_decoded_or_rejected(self, whole, place, value):
+        """Guard against unexpected errors while decoding.
+
+        A packet of another release or sender has an unexpected value in one field. Any
+        error other than `MessageError` would end the task that reads packets.
         """
         row = unpack(whole)
         read = read_digest if is_digest(row) else read_report
@@ -132,13 +136,13 @@
             read(row)
 
     @pytest.mark.parametrize("place", [3, 4, 5, 6, 7, 8, 9])
-    def test_a_digest_without_sums_is_told(self, place):
+    def test_a_digest_without_valid_sums_is_rejected(self, place):
         row = unpack(pack_digest(self.DIGEST))
         row[place] = "else"
         with pytest.raises(MessageError):
             read_digest(row)
 
-    def test_a_number_without_end_is_told(self):
+    def test_an_infinite_number_is_rejected(self):
         digest, whole = (
             unpack(pack_digest(self.DIGEST)),
             unpack(pack_report(report("a"))),
@@ -151,18 +155,22 @@
 
 
 class TestLargeFleet:
-    def test_every_router_knows_the_load_of_all_exactly(self):
-        """Sixty routers start at once and know three seeds. Whoever hears of fewer
-        calls than there are sends to engines that are full.
+    def test_every_router_knows_the_exact_load_of_all_others(self):
+        """Guard against routers that know only part of the load.
+
+        Sixty routers start at once with three seeds. A router that misses some of the
+        calls would send to engines that are full.
         """
         bed = FleetBed(60)
         bed.run(3.0)
         assert set(bed.errors()) == {0}
 
     def test_loads_reach_everybody_within_the_shortest_objective(self):
-        """A router sends twenty calls to an engine. Routers of other data centres that
-        hear of them after a third of a second have sent theirs behind them by then, and
-        all of those begin late though the engine seemed to stand empty.
+        """Guard against loads that arrive too late.
+
+        A router sends twenty calls to an engine. If routers of other data centres
+        learned of them only after a third of a second, they would have sent calls to
+        the seemingly idle engine by then, and these would start late.
         """
         bed = FleetBed(60)
         bed.run(3.0)
@@ -176,7 +184,7 @@
             ticks += 1
         assert ticks * TICK_S < 0.3
 
-    def test_packets_grow_with_the_fleet_and_not_with_its_square(self):
+    def test_packets_grow_linearly_with_the_fleet(self):
         small, large = FleetBed(40), FleetBed(120)
         for bed in (small, large):
             bed.run(3.0)
@@ -185,7 +193,7 @@
             assert set(bed.errors()) == {0}
         assert large.packets < 1.5 * 3 * small.packets
 
-    def test_lost_packets_make_news_older_and_not_wrong(self):
+    def test_lost_packets_rarely_make_known_loads_wrong(self):
         bed = FleetBed(40, loss=0.1)
         bed.run(4.0)
         wrong = 0
@@ -195,8 +203,10 @@
         assert wrong < 0.01 * 20 * 40
 
     def test_lost_collectors_are_replaced(self):
-        """Both collectors of a data centre lose power together. Its routers would know
-        nothing of the fleet, and the fleet nothing of theirs, until others collect.
+        """Guard against a data centre without collectors.
+
+        Both collectors lose power together. Until other routers take over, the data
+        centre has no loads of the fleet, and the fleet none of the data centre.
         """
         bed = FleetBed(40)
         bed.run(3.0)
@@ -206,7 +216,7 @@
         bed.run(3.5)
         assert set(bed.errors()) == {0}
 
-    def test_one_lost_collector_is_hardly_noticed(self):
+    def test_the_loss_of_one_collector_affects_only_its_own_load(self):
         bed = FleetBed(40)
         bed.run(3.0)
         name = bed.routers["h0"].view.collectors_of("fes", bed.now)[0]
@@ -216,16 +226,18 @@
             bed.tick()
             assert all(-1 <= error <= lost.running for error in bed.errors())
 
-    def test_a_router_that_starts_knows_the_fleet_within_a_second(self):
+    def test_a_starting_router_knows_all_loads_within_about_a_second(self):
         bed = FleetBed(40)
         bed.run(3.0)
         bed.start(40)
         bed.run(1.2)
         assert set(bed.errors()) == {0}
 
-    def test_a_seed_that_does_not_collect_names_those_who_do(self):
-        """A router starts, and the one seed that it knows collects nothing and is in
-        another data centre. Left without an answer, it would believe that it is alone.
+    def test_a_seed_that_is_no_collector_names_the_collectors(self):
+        """Guard against a starting router that never finds the fleet.
+
+        Its only seed is in another data centre and not a collector. Without an answer
+        from the seed, the router would act as if it were the only one.
         """
         bed = FleetBed(40)
         bed.run(3.0)
@@ -241,9 +253,11 @@
         bed.run(1.2)
         assert set(bed.errors()) == {0}
 
-    def test_a_data_centre_that_is_cut_off_goes_on_alone_and_comes_back(self):
-        """A data centre is cut off for six seconds. Counting the others' loads from
-        before the cut would leave its engines idle.
+    def test_a_data_centre_cut_off_uses_its_own_loads_and_then_merges_again(self):
+        """Guard against outdated loads while a data centre is cut off.
+
+        It is cut off for six seconds. If its routers still counted the loads of the
+        others from before the cut, its engines would stay idle.
         """
         bed = FleetBed(40)
         bed.run(3.0)
@@ -256,9 +270,12 @@
         bed.run(3.0)
         assert set(bed.errors()) == {0}
 
-    def test_nothing_is_counted_twice_as_the_fleet_grows_past_the_limit(self):
-        """Routers disagree for a while on whether the fleet is large: some tell all,
-        others their collectors. Counted by both ways, loads would look doubled.
+    def test_no_load_is_counted_twice_as_the_fleet_grows_past_the_limit(self):
+        """Guard against loads that are counted both from reports and from digests.
+
+        While the fleet grows past the limit, some routers still report to all others
+        and some only to their collectors. Loads that arrive both ways would seem twice
+        as high.
         """
         bed = FleetBed(MAX_DIRECT_PEERS - 1)
         bed.run(3.0)
@@ -271,7 +288,7 @@
         bed.run(3.0)
         assert set(bed.errors()) == {0}
 
-    def test_counts_of_workspaces_add_up(self):
+    def test_counts_of_workspaces_add_up_over_the_fleet(self):
         bed = FleetBed(40)
         bed.run(3.0)
         now = bed.now
@@ -289,7 +306,7 @@
             )
             assert own + theirs == pytest.approx(true, rel=0.15)
 
-    def test_parts_reach_every_router_and_each_is_told_on_once(self):
+    def test_parts_reach_every_router_and_are_not_forwarded_again(self):
         bed = FleetBed(40)
         bed.run(3.0)
         sender = bed.routers["h5"]
@@ -301,7 +318,7 @@
 
 
 class TestSmallFleet:
-    def test_everybody_tells_everybody(self):
+    def test_every_router_reports_to_all_others(self):
         bed = FleetBed(9)
         bed.run(1.5)
         assert set(bed.errors()) == {0}
@@ -310,7 +327,7 @@
         assert view.digests(bed.now) == []
         assert len(view.receivers((), REPORTS_PER_MEMBER_LIST + 1, bed.now)) == 8
 
-    def test_an_older_report_of_a_peer_changes_nothing(self):
+    def test_an_older_report_of_a_peer_is_ignored(self):
         bed = FleetBed(2)
         bed.run(1.0)
         view = bed.routers["h0"].view
--- a/packages/fulmarroad-serving/tests/test_ended_servers.py
+++ b/packages/fulmarroad-serving/tests/test_ended_servers.py
@@ -1,4 +1,4 @@
-"""Whether a backend server that broke a call off has ended."""
+"""Tests of the detection of crashed backend servers."""
 
 import logging
 
@@ -11,7 +11,7 @@
 from fulmarroad_serving._fingerprints import fingerprint_of
 
 
-async def hang_up(arrival, writer):
+async def close_connection(arrival, writer):
     return False
 
 
@@ -23,10 +23,14 @@
     return [row for row in caplog.records if getattr(row, "event", 0) == number(kind)]
 
 
-class TestVerdicts:
-    def test_an_engineer_finds_the_request_under_which_servers_ended(self, caplog):
-        """Attempts have ids of their own, so no line showed that one request was at
-        every server that ended.
+class TestCrashDetector:
+    def test_the_log_identifies_the_request_that_ran_on_every_crashed_server(
+        self, caplog
+    ):
+        """Guard against logs that do not identify the request that crashes servers.
+
+        Each attempt has an id of its own, so without the fingerprint no line showed
+        that the same request ran on every server that crashed.
         """
 
         async def test(bed):
@@ -44,9 +48,11 @@
 
         run(test)
 
-    def test_a_reset_connection_is_no_end(self, caplog):
-        """Connections are reset while the server lives on. Its calls would be held
-        responsible for a crash that never was.
+    def test_a_reset_connection_is_not_a_crash(self, caplog):
+        """Guard against taking a reset connection for a crash.
+
+        Connections are reset while the server keeps running. Its calls would be
+        suspected of a crash that did not happen.
         """
 
         async def test(bed):
@@ -63,12 +69,12 @@
 
         run(test)
 
-    def test_a_server_that_said_it_leaves_has_not_crashed(self, caplog):
-        """A server ends at the end of its drain with calls still running there."""
+    def test_the_end_of_a_draining_server_is_not_a_crash(self, caplog):
+        """Guard against taking the end of a drain with running calls for a crash."""
 
         async def test(bed):
             caplog.set_level(logging.INFO, "fulmarroad.serving")
-            gone = []
+            drained = []
 
             async def leave(arrival, writer):
                 row = bed.dispatcher.registry.get("s-1")
@@ -76,19 +82,21 @@
                     evolve(row.instance, draining=True), bed.now()
                 )
                 bed._servers[0].close()
-                gone.append(arrival)
+                drained.append(arrival)
                 return False
 
             await bed.serve("s-1", leave)
             await bed.call("/post/1", method="POST", body=b"x")
-            assert gone
+            assert drained
             assert not events(caplog, Event.SERVER_ENDED)
 
         run(test)
 
-    def test_a_server_is_asked_once_for_all_its_calls(self):
-        """A hundred calls break off together; each opening a connection would press a
-        server that only reset its connections.
+    def test_a_server_is_checked_once_for_all_calls_that_broke(self):
+        """Guard against one check for each call.
+
+        A hundred calls break at once. A connection attempt for each of them would
+        overload a server that has only reset its connections.
         """
 
         async def test(bed):
@@ -99,12 +107,12 @@
                 await anyio.sleep(0.01)
                 return True
 
-            async def hang_up_later(arrival, writer):
+            async def close_connection_later(arrival, writer):
                 await anyio.sleep(0.1)
                 return False
 
             bed.pool.refuses = refuses
-            await bed.serve("s-1", hang_up_later)
+            await bed.serve("s-1", close_connection_later)
             async with anyio.create_task_group() as group:
                 for n in range(5):
                     group.start_soon(bed.call, "/post/1", f"c-{n}")
@@ -112,9 +120,11 @@
 
         run(test)
 
-    def test_a_server_that_was_out_of_reach_for_a_while_may_still_be_there(self):
-        """A cut refused connections and has healed. Each connection that is reset later
-        would count as another end of the server.
+    def test_a_server_that_was_unreachable_is_checked_again(self):
+        """Guard against results of a check that are kept for too long.
+
+        The network refused connections for a while. Each connection that is reset
+        later would count as another crash of the server.
         """
 
         async def test(bed):
@@ -124,7 +134,7 @@
                 return verdicts.pop(0)
 
             bed.pool.refuses = refuses
-            await bed.serve("s-1", hang_up)
+            await bed.serve("s-1", close_connection)
             instance = bed.dispatcher.registry.get("s-1").instance
             ended = CrashDetector(bed.pool, bed.dispatcher.registry, bed.now)
             assert await ended.has_crashed(instance, bed.now())
@@ -135,11 +145,11 @@
 
 
 class TestPool:
-    def test_nothing_is_kept_of_a_server_that_ended(self):
-        """Servers come back under new ids; what is kept of each would pile up."""
+    def test_the_pool_keeps_nothing_of_a_crashed_server(self):
+        """Guard against a leak, as servers restart with new ids and entries add up."""
 
         async def test(bed):
-            await bed.serve("s-1", hang_up)
+            await bed.serve("s-1", close_connection)
             instance = bed.dispatcher.registry.get("s-1").instance
             assert not await bed.pool.refuses(instance)
             bed._servers[0].close()
@@ -150,7 +160,7 @@
 
 
 class TestFingerprints:
-    def test_another_caller_path_or_body_is_another_request(self):
+    def test_each_field_of_a_request_changes_its_fingerprint(self):
         request = ("coop", "svc.example", "POST", b"/draft/1", b"body")
         same = fingerprint_of(*request)
         assert same == fingerprint_of(*request)
@@ -159,6 +169,6 @@
             changed[index] = other
             assert fingerprint_of(*changed) != same
 
-    def test_fields_do_not_run_into_each_other(self):
+    def test_the_boundaries_between_fields_change_the_fingerprint(self):
         first = fingerprint_of("ab", "c", "GET", b"/", b"")
         assert first != fingerprint_of("a", "bc", "GET", b"/", b"")
--- a/packages/fulmarroad-serving/tests/test_suspects.py
+++ b/packages/fulmarroad-serving/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""A request under which backend servers ended, and the others beside it."""
+"""Tests of the detection of requests that crash backend servers."""
 
 import random
 
@@ -33,25 +33,24 @@
 )
 from fulmarroad_serving.contracts import CatalogFact
 
-CONTACT_S = 3.0
-"""Time after which routers in touch must know of a third end."""
+PROPAGATION_LIMIT_S = 3.0
+"""Time within which all connected routers must know of a third crash."""
 
-MOST_LATE_SENDS = 3
-"""Sends that the whole fleet may make after that time."""
+MAX_LATE_SENDS = 3
+"""Maximum number of sends by the whole fleet after that time."""
 
 POISON = b"p" * 16
 
-CALLS = 25
-"""Calls at a server at once: it goes down with all of them."""
+CALLS_PER_SERVER = 25
+"""Concurrent calls of a server, all of which break when it crashes."""
 
-TOLD_S = 0.15
+PACKET_INTERVAL_S = 0.15
 """Time between two packets of a router."""
 
-MEAN_LIFE_S = 120.0
-"""Time after which a server ends by itself: an end each 13 s among nine servers."""
+MEAN_UPTIME_S = 120.0
+"""Mean time until a server crashes by itself: a crash each 13 s among nine servers."""
 
-
-BEGUN_S = 0.3
+FIRST_CHUNK_DELAY_S = 0.3
 """Time from sending to the first part of an answer."""
 
 
@@ -59,16 +58,16 @@
     return b"%016d" % number
 
 
-def with_ends(*at):
-    """Return suspects of which one has ended servers at these times."""
+def suspects_with_crashes(*at):
+    """Return suspects with one request that crashed servers at the given times."""
     suspects = Suspects()
-    for number, moment in enumerate(at):
-        suspects.note_crash(POISON, number, moment)
+    for number, crashed_at in enumerate(at):
+        suspects.note_crash(POISON, number, crashed_at)
     return suspects
 
 
-class TestStanding:
-    def test_each_end_narrows_what_may_be_done(self):
+class TestSuspectState:
+    def test_each_crash_restricts_a_request_further(self):
         suspects = Suspects()
         assert suspects.suspect_state(POISON, 1.0) is SuspectState.CLEAR
         for number, suspect_state in enumerate(
@@ -82,22 +81,24 @@
             suspects.note_crash(POISON, number, 1.0)
             assert suspects.suspect_state(POISON, 1.0) is suspect_state
 
-    def test_one_server_that_ends_counts_once(self):
-        """Several copies of a request run at the server that ends; each notes it."""
-        suspects = with_ends(1.0)
+    def test_one_crash_counts_once(self):
+        """Guard against counting one crash for each copy of a request on the server."""
+        suspects = suspects_with_crashes(1.0)
         suspects.note_crash(POISON, 0, 1.0)
         assert suspects.suspect_state(POISON, 1.0) is SuspectState.SERIALIZED
 
-    def test_a_good_run_lets_a_request_off(self):
-        suspects = with_ends(1.0, 2.0)
+    def test_a_successful_run_clears_a_request(self):
+        suspects = suspects_with_crashes(1.0, 2.0)
         suspects.note_success(POISON, 3.0)
         assert suspects.suspect_state(POISON, 3.0) is SuspectState.CLEAR
         suspects.note_crash(POISON, 7, 3.0 + SUCCESS_WINDOW_S + 1)
         assert suspects.suspect_state(POISON, 30.0) is SuspectState.SERIALIZED
 
-    def test_a_body_that_many_send_is_not_barred_when_servers_end_together(self):
-        """A data centre loses power with copies of one popular request at three of its
-        servers. Three ends without a good run between them would bar it.
+    def test_a_popular_request_is_not_barred_when_servers_crash_together(self):
+        """Guard against barring a popular request when several servers crash at once.
+
+        A data centre loses power while three of its servers run copies of the request.
+        Three crashes without a successful run between them would bar it.
         """
         suspects = Suspects()
         suspects.note_success(POISON, 1.0)
@@ -105,11 +106,13 @@
             suspects.note_crash(POISON, number, 1.5)
         assert suspects.suspect_state(POISON, 1.5) is SuspectState.CLEAR
 
-    def test_a_barred_request_is_tried_once_after_its_time_and_then_more_rarely(self):
-        """Servers get new software and run the request well: it must come back in. One
-        that still ends them must not end three each time.
+    def test_a_barred_request_is_tried_once_and_barred_longer_after_another_crash(self):
+        """Guard against a bar that never ends, or that lets three more servers crash.
+
+        With new software the servers may run the request, so it is tried again. If it
+        still crashes them, each trial must cost one server only.
         """
-        suspects = with_ends(1.0, 1.1, 1.2)
+        suspects = suspects_with_crashes(1.0, 1.1, 1.2)
         later = 1.2 + BAR_DURATION_S
         assert suspects.suspect_state(POISON, later - 1) is SuspectState.BARRED
         assert suspects.suspect_state(POISON, later) is SuspectState.ISOLATED
@@ -123,16 +126,18 @@
             is SuspectState.ISOLATED
         )
 
-    def test_a_request_is_forgotten_in_the_end(self):
-        suspects = with_ends(1.0)
+    def test_a_record_is_dropped_after_its_retention_time(self):
+        suspects = suspects_with_crashes(1.0)
         suspects.pop_updates(MAX_SUSPECTS, 1.0 + RETENTION_S)
         assert suspects.suspect_state(POISON, 1.0 + RETENTION_S) is SuspectState.CLEAR
 
-    def test_the_certain_ones_are_kept_when_there_are_too_many(self):
-        """Each end of a server makes a hundred suspects. Pushed out by them, a request
-        that ends servers would begin anew with three.
+    def test_the_records_with_most_crashes_are_kept_when_there_are_too_many(self):
+        """Guard against losing the record of a barred request.
+
+        Each crash adds a hundred suspects. If they displaced the record, the request
+        would crash three servers again.
         """
-        suspects = with_ends(1.0, 1.0, 1.0)
+        suspects = suspects_with_crashes(1.0, 1.0, 1.0)
         for number in range(10 * MAX_RECORDS):
             suspects.note_crash(name(number), number, 2.0 + number)
         assert suspects.suspect_state(POISON, 3.0) is SuspectState.BARRED
@@ -141,100 +146,114 @@
         assert suspects.suspect_state(newest, 3.0) is SuspectState.SERIALIZED
 
 
-class TestTelling:
-    def told(self, *senders, now=5.0):
-        hearer = Suspects()
+class TestUpdates:
+    def receive_from(self, *senders, now=5.0):
+        receiver = Suspects()
         for sender in senders:
-            hearer.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
-        return hearer
+            receiver.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
+        return receiver
 
-    def test_ends_that_routers_saw_apart_add_up(self):
-        """Three routers see one end each. Each by itself would send the request on."""
+    def test_crashes_seen_by_different_routers_add_up(self):
+        """Guard against counting by router: three routers see one crash each."""
         senders = [Suspects() for _ in range(3)]
         for number, sender in enumerate(senders):
             sender.note_crash(POISON, number, 4.0)
-        assert self.told(*senders).suspect_state(POISON, 5.0) is SuspectState.BARRED
+        assert (
+            self.receive_from(*senders).suspect_state(POISON, 5.0)
+            is SuspectState.BARRED
+        )
 
-    def test_an_end_that_two_routers_saw_counts_once(self):
-        senders = [with_ends(4.0), with_ends(4.1)]
-        assert self.told(*senders).suspect_state(POISON, 5.0) is SuspectState.SERIALIZED
+    def test_a_crash_seen_by_two_routers_counts_once(self):
+        senders = [suspects_with_crashes(4.0), suspects_with_crashes(4.1)]
+        assert (
+            self.receive_from(*senders).suspect_state(POISON, 5.0)
+            is SuspectState.SERIALIZED
+        )
 
-    def test_a_good_run_elsewhere_lets_a_request_off(self):
-        first, second = with_ends(4.0, 4.1), with_ends(4.0, 4.1)
+    def test_a_successful_run_at_another_router_clears_a_request(self):
+        first, second = suspects_with_crashes(4.0, 4.1), suspects_with_crashes(4.0, 4.1)
         second.note_success(POISON, 4.5)
-        assert self.told(first, second).suspect_state(POISON, 5.0) is SuspectState.CLEAR
+        assert (
+            self.receive_from(first, second).suspect_state(POISON, 5.0)
+            is SuspectState.CLEAR
+        )
 
-    def test_a_router_that_was_cut_off_hears_of_it_later(self):
-        sender = with_ends(1.0, 1.0, 1.0)
+    def test_a_router_that_was_cut_off_receives_the_record_later(self):
+        sender = suspects_with_crashes(1.0, 1.0, 1.0)
         for tick in range(100):
             sender.pop_updates(MAX_SUSPECTS, 1.0 + tick / 10)
         assert (
-            self.told(sender, now=60.0).suspect_state(POISON, 60.0)
+            self.receive_from(sender, now=60.0).suspect_state(POISON, 60.0)
             is SuspectState.BARRED
         )
 
-    def test_the_most_certain_are_told_first_and_packets_are_bounded(self):
-        suspects = with_ends(1.0, 1.0, 1.0)
+    def test_records_with_most_crashes_are_sent_first_in_bounded_packets(self):
+        suspects = suspects_with_crashes(1.0, 1.0, 1.0)
         for number in range(200):
             suspects.note_crash(name(number), 99, 2.0)
         rows = suspects.pop_updates(MAX_SUSPECTS, 2.0)
         assert len(rows) == MAX_SUSPECTS
         assert rows[0].fingerprint == POISON
 
-    def test_all_are_told_within_two_seconds_of_packets(self):
-        sender, hearer = Suspects(), Suspects()
+    def test_all_records_are_sent_within_two_seconds(self):
+        sender, receiver = Suspects(), Suspects()
         for number in range(100):
             sender.note_crash(name(number), 99, 2.0)
         for tick in range(13):
             now = 2.0 + 0.15 * tick
-            hearer.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
-        standings = {hearer.suspect_state(name(number), 4.0) for number in range(100)}
-        assert standings == {SuspectState.SERIALIZED}
+            receiver.merge_rows(sender.pop_updates(MAX_SUSPECTS, now), now)
+        states = {receiver.suspect_state(name(number), 4.0) for number in range(100)}
+        assert states == {SuspectState.SERIALIZED}
+
+    def test_two_routers_that_agree_stop_sending_updates(self):
+        """Guard against two routers that send each other the same rows for ever.
 
-    def test_two_routers_that_agree_fall_silent(self):
-        """Each takes the other's word for news, and both talk of it for ever."""
-        one, other = with_ends(1.0), Suspects()
+        Each would take the rows of the other for a change and forward them.
+        """
+        one, other = suspects_with_crashes(1.0), Suspects()
         rows = 0
         for tick in range(200):
             now = 1.0 + tick / 10
-            for sender, hearer in ((one, other), (other, one)):
+            for sender, receiver in ((one, other), (other, one)):
                 updates = sender.pop_updates(MAX_SUSPECTS, now)
-                hearer.merge_rows(updates, now + 0.004, relay=True)
+                receiver.merge_rows(updates, now + 0.004, relay=True)
                 rows += len(updates)
         assert rows <= 20
 
-    def test_a_copy_waits_while_one_runs_at_another_router(self):
-        """Copies come to several routers at once. Sent all together, each would end a
-        server before anything is certain.
+    def test_a_suspect_counts_as_running_while_it_runs_at_another_router(self):
+        """Guard against copies of a suspect that run at the same time.
+
+        Several routers receive copies at once. Sent together, each could crash a server
+        before the request is barred.
         """
-        first = with_ends(1.0)
+        first = suspects_with_crashes(1.0)
         first.begin(POISON, 77, 4.9)
-        hearer = self.told(first, now=5.0)
-        assert hearer.tried(POISON, 5.0)
-        assert not hearer.tried(POISON, 4.9 + TRIAL_S)
+        receiver = self.receive_from(first, now=5.0)
+        assert receiver.tried(POISON, 5.0)
+        assert not receiver.tried(POISON, 4.9 + TRIAL_S)
         first.end(POISON)
         assert not first.tried(POISON, 5.0)
 
-    def test_rows_are_read_as_they_were_written(self):
+    def test_rows_survive_encoding_and_decoding(self):
         row = SuspectRow(POISON, ((7, 0.25), (2**63, 1.5)), 0.5, (9, 0.25))
         bed = FleetBed(1)
         sent = evolve(bed.report("h0"), suspects=(row,))
         assert unpack_report(pack_report(sent)).suspects == (row,)
 
-    def test_a_report_of_the_version_before_says_nothing_of_suspects(self):
+    def test_a_report_of_the_previous_version_has_no_suspects(self):
         data = msgpack.unpackb(pack_report(FleetBed(1).report("h0")))
         assert unpack_report(msgpack.packb(data[:14])).suspects == ()
 
     @pytest.mark.parametrize("trial", [{1: 2}, {}, "", 7, [1], [1, -2.0]])
-    def test_a_trial_of_another_kind_is_told(self, trial):
-        """Any other error would end the task that reads packets."""
+    def test_a_trial_that_is_not_valid_is_rejected(self, trial):
+        """Guard against other errors, which would end the task that reads packets."""
         row = msgpack.unpackb(pack_report(FleetBed(1).report("h0")))
         row[14] = [[POISON, [], None, trial]]
         with pytest.raises(MessageError):
             read_report(msgpack.unpackb(msgpack.packb(row), strict_map_key=False))
 
     @pytest.mark.parametrize("wrong", [10**12, b"short", "text", None])
-    def test_a_fingerprint_of_another_kind_is_told(self, wrong):
+    def test_a_fingerprint_that_is_not_valid_is_rejected(self, wrong):
         row = SuspectRow(wrong, ())
         sent = evolve(FleetBed(1).report("h0"), suspects=(row,))
         with pytest.raises(MessageError):
@@ -242,15 +261,15 @@
 
 
 class TestFleet:
-    def spread(self, size, **trouble):
-        """Have three routers see an end each; return the fleet a while later."""
-        bed = FleetBed(size, **trouble)
+    def spread(self, size, **faults):
+        """Return a fleet in which three routers have just seen one crash each."""
+        bed = FleetBed(size, **faults)
         bed.run(1.05)
         for number, host in enumerate(("h1", "h4", "h7")):
             bed.routers[host].dispatcher.suspects.note_crash(POISON, number, bed.now)
         return bed
 
-    def unaware(self, bed):
+    def hosts_without_bar(self, bed):
         return [
             row.host
             for row in bed.routers.values()
@@ -260,13 +279,13 @@
         ]
 
     @pytest.mark.parametrize("size", [9, 60, 195])
-    def test_every_router_knows_within_the_time_for_it(self, size):
+    def test_every_router_bars_the_request_within_the_limit(self, size):
         bed = self.spread(size)
         bed.run(0.6)
-        assert not self.unaware(bed)
+        assert not self.hosts_without_bar(bed)
 
-    def test_only_collectors_tell_on_what_they_hear(self):
-        """Hundreds of routers would each send their collectors what these told them."""
+    def test_only_collectors_forward_received_records(self):
+        """Guard against hundreds of routers that send rows back to their collectors."""
         bed = FleetBed(60)
         bed.run(1.05)
         first = next(
@@ -275,43 +294,46 @@
             if not row.view.is_collector(bed.now)
         )
         bed.routers[first].dispatcher.suspects.note_crash(POISON, 1, bed.now)
-        told = set()
+        sending_hosts = set()
         for _ in range(8):
             bed.tick()
-            told |= {
+            sending_hosts |= {
                 host
                 for host, row in bed.routers.items()
                 if row.view._last_report.suspects and not row.view.is_collector(bed.now)
             }
-        assert told == {first}
-        standings = {
+        assert sending_hosts == {first}
+        states = {
             row.dispatcher.suspects.suspect_state(POISON, bed.now)
             for row in bed.routers.values()
         }
-        assert standings == {SuspectState.SERIALIZED}
+        assert states == {SuspectState.SERIALIZED}
 
     @pytest.mark.parametrize("size", [9, 60])
-    def test_lost_packets_hold_it_up_and_no_more(self, size):
+    def test_lost_packets_only_delay_the_bar(self, size):
         bed = self.spread(size, loss=0.3)
-        bed.run(CONTACT_S)
-        assert not self.unaware(bed)
+        bed.run(PROPAGATION_LIMIT_S)
+        assert not self.hosts_without_bar(bed)
+
+    def test_the_bar_spreads_after_the_router_that_saw_the_crash_is_lost(self):
+        """Guard against a lost crash.
 
-    def test_the_loss_of_who_saw_it_does_not_undo_it(self):
-        """The router that saw the third end is killed just after its word went out."""
+        The router that saw the third crash is killed just after it sent the update.
+        """
         bed = self.spread(9)
         bed.run(0.15)
         bed.routers["h7"].alive = False
-        bed.run(CONTACT_S)
-        assert not self.unaware(bed)
+        bed.run(PROPAGATION_LIMIT_S)
+        assert not self.hosts_without_bar(bed)
 
-    def test_a_router_that_starts_later_learns_of_it(self):
+    def test_a_router_that_starts_later_receives_the_bar(self):
         bed = self.spread(9)
         bed.run(5.0)
         bed.start(9)
-        bed.run(CONTACT_S)
-        assert not self.unaware(bed)
+        bed.run(PROPAGATION_LIMIT_S)
+        assert not self.hosts_without_bar(bed)
 
-    def test_a_data_centre_that_was_cut_off_learns_of_it_once_it_is_back(self):
+    def test_a_data_centre_that_was_cut_off_receives_the_bar_when_connected_again(self):
         bed = FleetBed(60)
         bed.run(4.0)
         bed.cut = "taza"
@@ -320,91 +342,94 @@
             suspects = bed.routers["h1"].dispatcher.suspects
             suspects.note_crash(POISON, number, bed.now)
         bed.run(3.0)
-        assert {int(host[1:]) % 3 for host in self.unaware(bed)} == {2}
+        assert {int(host[1:]) % 3 for host in self.hosts_without_bar(bed)} == {2}
         bed.cut = ""
-        bed.run(CONTACT_S)
-        assert not self.unaware(bed)
+        bed.run(PROPAGATION_LIMIT_S)
+        assert not self.hosts_without_bar(bed)
 
 
 @define
-class CrashDay:
-    """Servers that end by themselves and under a poison request, before nine routers.
+class CrashSimulation:
+    """Simulate routers with servers that crash by themselves or on a poison request.
 
-    Calls that a server takes down with it are repeated at another server by their
-    router, or come back by any router where it may not repeat them; there it may happen
-    again. Every other request that is barred counts.
+    There are nine of each. A call that broke in a crash is retried on another server by
+    its router or, where that may not retry it, repeated by the caller through any
+    router. It may meet another crash there. `barred` counts the barred requests other
+    than the poison one.
     """
 
     seed: int
     routers: list = field(factory=lambda: [Suspects() for _ in range(9)])
     now: float = 100.0
     barred: int = 0
-    sends: list = field(factory=list)  # when the poison request was sent
-    _starts: int = 0
-    _running: dict = field(factory=dict)  # server: requests, each with its router
-    _sent_at: dict = field(factory=dict)  # request: when its last run was sent
-    _returns: list = field(factory=list)  # requests that come back, each with its time
+    sends: list = field(factory=list)  # times at which the poison request was sent
+    _crash_count: int = 0
+    _running: dict = field(factory=dict)  # server: its requests, each with its router
+    _sent_at: dict = field(factory=dict)  # request: time of its last send
+    _repeats: list = field(factory=list)  # (time, request) that callers repeat
     _requests: int = 0
     _random: random.Random = field(init=False)
 
     def __attrs_post_init__(self):
         self._random = random.Random(self.seed)
 
-    def play(self, seconds):
-        self._running = {n: self._fill() for n in range(9)}
-        for step in range(round(seconds / TOLD_S)):
-            self.now += TOLD_S
-            self._tell()
+    def simulate(self, seconds):
+        self._running = {n: self._start_calls() for n in range(9)}
+        for step in range(round(seconds / PACKET_INTERVAL_S)):
+            self.now += PACKET_INTERVAL_S
+            self._exchange_updates()
             for server in list(self._running):
-                self._finish_some(server)
-                if self._random.random() < TOLD_S / MEAN_LIFE_S:
-                    self._end(server)
-            self._come_back()
+                self._finish_calls(server)
+                if self._random.random() < PACKET_INTERVAL_S / MEAN_UPTIME_S:
+                    self._crash(server)
+            self._send_due_repeats()
             if step % 7 == 0:
                 self._send(POISON, self._random.randrange(9))
 
-    def _fill(self):
+    def _start_calls(self):
         rows = {}
-        for _ in range(CALLS):
-            self._start(rows)
+        for _ in range(CALLS_PER_SERVER):
+            self._start_call(rows)
         return rows
 
-    def _tell(self):
+    def _exchange_updates(self):
         for sender in self.routers:
             rows = sender.pop_updates(MAX_SUSPECTS, self.now)
-            for hearer in self.routers:
-                if hearer is not sender:
-                    hearer.merge_rows(rows, self.now)
+            for receiver in self.routers:
+                if receiver is not sender:
+                    receiver.merge_rows(rows, self.now)
 
-    def _finish_some(self, server):
+    def _finish_calls(self, server):
         rows = self._running[server]
         for request in self._random.sample(sorted(rows), len(rows) // 10):
             router = self.routers[rows.pop(request)]
             router.note_success(request, self.now)
             router.end(request)
-        while len(rows) < CALLS:
-            self._start(rows)
+        while len(rows) < CALLS_PER_SERVER:
+            self._start_call(rows)
 
-    def _start(self, rows):
+    def _start_call(self, rows):
         self._requests += 1
         request, router = name(self._requests), self._random.randrange(9)
         rows[request] = router
         self._sent_at[request] = self.now
         self.routers[router].begin(request, 0, self.now)
 
-    def _come_back(self):
-        due = [row for row in self._returns if row[0] <= self.now]
-        self._returns = [row for row in self._returns if row[0] > self.now]
+    def _send_due_repeats(self):
+        due = [row for row in self._repeats if row[0] <= self.now]
+        self._repeats = [row for row in self._repeats if row[0] > self.now]
         for _, request in due:
             self._send(request, self._random.randrange(9))
 
-    def _end(self, server):
-        self._starts += 1
-        lost, self._running[server] = self._running[server], self._fill()
+    def _crash(self, server):
+        self._crash_count += 1
+        lost, self._running[server] = self._running[server], self._start_calls()
         for request, router in lost.items():
-            answered_s = max(0.0, self.now - self._sent_at[request] - BEGUN_S)
+            answered_s = max(
+                0.0, self.now - self._sent_at[request] - FIRST_CHUNK_DELAY_S
+            )
             self.routers[router].note_crash(
-                request, self._starts, self.now, answered_s=answered_s
+                request, self._crash_count, self.now, answered_s=answered_s
             )
             self.routers[router].end(request)
         for request, router in lost.items():
@@ -414,7 +439,7 @@
             ):
                 self._send(request, router, avoid=server)
             elif request != POISON:
-                self._returns.append(
+                self._repeats.append(
                     (self.now + self._random.uniform(0.05, 0.9), request)
                 )
 
@@ -430,7 +455,7 @@
             tried = suspects.trial_servers(self.now)
             free = [n for n in free if n not in tried]
         if not free:
-            self._returns.append((self.now + self._random.uniform(0.8, 1.6), request))
+            self._repeats.append((self.now + self._random.uniform(0.8, 1.6), request))
             return
         server = self._random.choice(free)
         suspects.begin(request, server, self.now)
@@ -438,20 +463,22 @@
         self._running[server][request] = router
         if request == POISON:
             self.sends.append(self.now)
-            self._end(server)
+            self._crash(server)
+
 
+class TestAnsweredRequests:
+    def test_a_request_that_was_being_answered_is_not_suspected(self):
+        """Guard against barring a request for crashes that it did not cause.
 
-class TestAnswered:
-    def test_a_request_that_was_being_answered_is_no_suspect(self):
-        """Long answers are cut off whenever a server ends. One that was at three
-        servers would be barred like the request that ended them.
+        Each crash breaks long answers. A request whose answers broke on three servers
+        would be barred like the one that crashed them.
         """
         suspects = Suspects()
         for end in range(3):
             suspects.note_crash(POISON, end, 1.0, answered_s=MAX_SUSPECT_ANSWERING_S)
         assert suspects.suspect_state(POISON, 1.0) is SuspectState.CLEAR
 
-    def test_one_that_ends_its_server_with_its_first_part_is(self):
+    def test_a_request_whose_answer_just_began_is_suspected(self):
         suspects = Suspects()
         for end in range(3):
             suspects.note_crash(
@@ -463,25 +490,27 @@
 class TestCrashDays:
     @pytest.mark.parametrize("seed", [*range(5), 113, 125])
     def test_no_other_request_is_barred_where_servers_end_all_the_time(self, seed):
-        """Each server ends every two minutes, and a request that ends servers is among
-        the calls. Its neighbours fall with one server after another.
+        """Guard against barring requests that run beside the one that crashes servers.
+
+        Each server crashes every two minutes, and a request that crashes servers is
+        among the calls. Others that run beside it break on one server after another.
         """
-        day = CrashDay(seed)
-        day.play(40.0)
-        assert day.barred == 0
+        simulation = CrashSimulation(seed)
+        simulation.simulate(40.0)
+        assert simulation.barred == 0
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_the_poison_request_is_sent_three_times_and_hardly_more(self, seed):
-        day = CrashDay(seed)
-        day.play(40.0)
-        third = day.sends[2]
-        late = [at for at in day.sends if at > third + CONTACT_S]
-        assert len(late) <= MOST_LATE_SENDS
-        assert len(day.sends) <= 3 + MOST_LATE_SENDS
+    def test_the_poison_request_is_sent_little_more_than_three_times(self, seed):
+        simulation = CrashSimulation(seed)
+        simulation.simulate(40.0)
+        third = simulation.sends[2]
+        late = [at for at in simulation.sends if at > third + PROPAGATION_LIMIT_S]
+        assert len(late) <= MAX_LATE_SENDS
+        assert len(simulation.sends) <= 3 + MAX_LATE_SENDS
 
 
 def suspect(bed, ends):
-    """Have the next request be known for some ends; return the requests asked about."""
+    """Give the next request some crashes; return a list of the requests looked up."""
     suspects, asked = bed.dispatcher.suspects, []
     suspect_state = suspects.suspect_state
 
@@ -497,21 +526,23 @@
 
 
 async def send_poison(bed, times, path="/draft/1"):
-    """Send one body again and again, each time under another id."""
+    """Send the same body repeatedly, each time with another request id."""
     for n in range(times):
         await bed.call(path, request_id=f"k-{n}", method="POST", body=b"poison")
 
 
 class TestCalls:
-    @pytest.mark.parametrize(("more_s", "ends"), [(0.2, 0), (-0.4, 1)])
-    def test_an_answer_cut_off_late_is_not_laid_to_its_request(self, more_s, ends):
-        """A server ends under a long answer that has been coming for a while."""
+    @pytest.mark.parametrize(("offset_s", "ends"), [(0.2, 0), (-0.4, 1)])
+    def test_a_crash_late_in_an_answer_is_not_attributed_to_its_request(
+        self, offset_s, ends
+    ):
+        """Guard against suspecting a request whose long answer breaks in a crash."""
 
         async def test(bed):
             async def script(arrival, writer):
                 writer.write(stream_head(arrival.header("x-id")) + chunk(event(1)))
                 await writer.drain()
-                await anyio.sleep(MAX_SUSPECT_ANSWERING_S + more_s)
+                await anyio.sleep(MAX_SUSPECT_ANSWERING_S + offset_s)
                 bed._servers[0].close()
                 return False
 
@@ -522,9 +553,11 @@
 
         run(test)
 
-    def test_a_request_that_ends_servers_ends_three_at_most(self):
-        """A request that crashes what runs it comes again and again, each time under a
-        new id, and is sent on until no server is left.
+    def test_a_request_crashes_three_servers_at_most(self):
+        """Guard against a request that crashes all servers.
+
+        The caller repeats it with a new request id each time, and without a limit it
+        would be sent until no server is left.
         """
 
         async def test(bed):
@@ -536,7 +569,7 @@
         run(test)
 
     @pytest.mark.parametrize("path", ["/look/1", "/post/1"])
-    def test_plain_services_lose_three_servers_at_most(self, path):
+    def test_a_request_crashes_three_servers_of_a_plain_service_at_most(self, path):
         async def test(bed):
             servers = CrashingServers(bed, service="ledger")
             await servers.start(*(f"s-{n}" for n in range(9)))
@@ -545,8 +578,12 @@
 
         run(test)
 
-    def test_its_caller_is_told_at_once_that_it_ran(self):
-        """Told to come back, the caller would; told "not run", it would be misled."""
+    def test_a_barred_request_is_refused_without_retry_after(self):
+        """Guard against a refusal that makes the caller repeat the request.
+
+        The caller would follow a `retry-after` header, and an answer that the request
+        did not run would be wrong.
+        """
 
         async def test(bed):
             servers = CrashingServers(bed)
@@ -560,7 +597,7 @@
 
         run(test)
 
-    def test_the_callers_other_requests_are_served(self):
+    def test_other_requests_of_the_caller_are_served(self):
         async def test(bed):
             servers = CrashingServers(bed)
             await servers.start(*(f"s-{n}" for n in range(5)))
@@ -570,7 +607,7 @@
 
         run(test)
 
-    def test_what_ended_two_servers_is_not_repeated_by_the_router(self):
+    def test_a_request_that_crashed_two_servers_is_not_retried_by_the_router(self):
         async def test(bed):
             routes = [evolve(row, max_attempts=5) for row in make_catalog().routes]
             bed.apply_fact(CatalogFact(make_catalog(2, routes=tuple(routes))))
@@ -582,9 +619,11 @@
 
         run(test)
 
-    def test_news_that_come_while_a_call_is_connecting_still_hold_it(self):
-        """A peer's word of the third end comes while a connection is made. The call
-        would end a fourth server.
+    def test_a_bar_received_while_a_call_is_connecting_stops_it(self):
+        """Guard against a fourth crash.
+
+        A peer reports the third crash while the connection to a server is being opened,
+        after the request was checked.
         """
 
         async def test(bed):
@@ -592,7 +631,7 @@
             await servers.start("s-1", "s-2")
             acquire = bed.pool.acquire
 
-            async def acquire_late(*args):
+            async def acquire_after_third_crash(*args):
                 connection = await acquire(*args)
                 for end in range(3):
                     for known in list(asked):
@@ -600,14 +639,14 @@
                 return connection
 
             asked = suspect(bed, ends=0)
-            bed.pool.acquire = acquire_late
+            bed.pool.acquire = acquire_after_third_crash
             caller = await bed.call("/draft/1", method="POST", body=b"poison")
             assert caller.status == 502
             assert not bed.arrivals
 
         run(test)
 
-    def test_a_copy_of_a_suspect_waits_for_the_one_that_runs(self):
+    def test_a_copy_of_a_suspect_is_refused_while_another_one_runs(self):
         async def test(bed):
             async def slow(arrival, writer):
                 await anyio.sleep(0.3)
@@ -626,9 +665,11 @@
 
         run(test)
 
-    def test_a_suspect_gets_the_time_of_its_last_send(self):
-        """A suspect isn't repeated, so a slow server must not be given up for it: the
-        answer that is on its way would be lost.
+    def test_a_suspect_gets_the_timeout_of_a_last_attempt(self):
+        """Guard against the shorter timeout of attempts that may be retried.
+
+        A suspect is not retried, so that timeout would only discard the answer of a
+        slow server.
         """
 
         async def test(bed):
--- a/packages/fulmarroad-serving/tests/test_workspace_ends.py
+++ b/packages/fulmarroad-serving/tests/test_workspace_ends.py
@@ -1,4 +1,4 @@
-"""How the calls of workspaces end at a router, as told to operators."""
+"""Tests of the outcomes of workspaces' calls as logged for operators."""
 
 import json
 import logging
@@ -15,8 +15,8 @@
 from fulmarroad_serving.bounded_log import CALL_EVENTS, QUEUE_LINES, BoundedLog
 
 
-class TestWorkspaceEnds:
-    def test_who_was_refused_is_told_with_all_its_calls(self):
+class TestWorkspaceOutcomes:
+    def test_a_refused_workspace_is_reported_with_all_its_outcomes(self):
         ends = WorkspaceOutcomes()
         for outcome in ("on_time", "late", "router_busy", "router_busy"):
             ends.note("large", outcome)
@@ -25,7 +25,7 @@
         assert row.workspace == "large"
         assert row.ends == {"on_time": 1, "late": 1, "router_busy": 2}
 
-    def test_each_call_is_told_once_and_not_more_often_than_each_second(self):
+    def test_each_call_is_reported_once_and_reports_are_a_second_apart(self):
         ends = WorkspaceOutcomes()
         ends.note("large", "wait_too_long")
         assert ends.pop_refusals(REPORT_INTERVAL_S)
@@ -34,21 +34,23 @@
         assert ends.pop_refusals(2 * REPORT_INTERVAL_S)
         assert not ends.pop_refusals(4 * REPORT_INTERVAL_S)
 
-    def test_the_most_refused_come_first_and_the_rest_is_left_out(self):
+    def test_only_the_workspaces_with_the_most_refusals_are_reported(self):
         ends = WorkspaceOutcomes()
         for number in range(2 * MAX_REPORTED):
             for _ in range(number + 1):
                 ends.note(f"w{number}", "wait_too_long")
-        told = [row.workspace for row in ends.pop_refusals(REPORT_INTERVAL_S)]
-        assert told == [
+        reported = [row.workspace for row in ends.pop_refusals(REPORT_INTERVAL_S)]
+        assert reported == [
             f"w{2 * MAX_REPORTED - 1 - rank}" for rank in range(MAX_REPORTED)
         ]
 
 
-class TestSight:
-    def test_the_lines_of_calls_do_not_push_it_out(self):
-        """A router refuses thousands of calls; their lines are dropped, and nobody can
-        tell afterwards whose they were.
+class TestLog:
+    def test_lines_of_calls_do_not_displace_the_counts(self):
+        """Guard against losing the counts of refused workspaces.
+
+        A router refuses thousands of calls and drops their log lines. Without the
+        counts, the log would not show which workspaces were refused.
         """
         written = []
         log = BoundedLog("router-a")
@@ -63,7 +65,7 @@
         assert line["event"] not in CALL_EVENTS
         assert line["workspace"] == "large"
 
-    def test_calls_turned_away_by_a_busy_router_are_counted(self):
+    def test_calls_refused_by_a_busy_router_are_counted(self):
         async def test(bed):
             for _ in range(10):
                 bed.lateness.note(FAR_TOO_LATE_S)
@@ -74,10 +76,12 @@
         run(test)
 
 
-class TestAsked:
+class TestRequestedShare:
     def test_what_a_busy_router_turns_away_counts_as_asked(self):
-        """One router has all calls of a workspace and turns most of them away. Not
-        counted, they leave the fleet thinking that the workspace wants no more.
+        """Guard against shares that ignore the demand at a busy router.
+
+        One router receives all calls of a workspace and refuses most of them. If these
+        were not counted, the fleet would underestimate what the workspace requests.
         """
 
         async def test(bed):
