--- a/packages/fulmarroad-serving/tests/fleet_bed.py
+++ b/packages/fulmarroad-serving/tests/fleet_bed.py
@@ -1,4 +1,4 @@
-"""Routers that talk to each other in virtual time, without sockets."""
+"""Simulated routers that exchange reports in virtual time, without sockets."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 @define
 class Router:
-    """One router with its calls at a server, and whether it runs."""
+    """Hold a simulated router, its number of running calls and whether it is up."""
 
     view: FleetView
     dispatcher: Dispatcher
@@ -30,7 +30,10 @@
 
 @define
 class FleetBed:
-    """A fleet that talks in ticks; packets may be lost, centres cut off."""
+    """Simulate a fleet that exchanges packets in ticks.
+
+    A share `loss` of the packets is lost, and the data centre `cut` is cut off.
+    """
 
     size: int
     loss: float = 0.0
@@ -84,9 +87,9 @@
     def _packets(self, router):
         router.sequence += 1
         view, now = router.view, self.now
-        whole = view.complete_report(self.report(router.host), now)
+        report = view.complete_report(self.report(router.host), now)
         hosts = view.receivers(self.seeds, router.sequence, now)
-        rows = [(pack_report(whole), hosts)]
+        rows = [(pack_report(report), hosts)]
         for digest, followers in view.digests(now):
             rows.append((pack_digest(digest), followers))
         return rows
@@ -109,7 +112,7 @@
             self.tick()
 
     def errors(self):
-        """Return how far each router is off the calls that really run."""
+        """Return each router's count of running calls minus the true count."""
         alive = [row for row in self.routers.values() if row.alive]
         true = sum(row.running for row in alive)
         return [
