--- a/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
@@ -65,7 +65,7 @@
 """Units of service a second that operators state for five engines."""
 
 SERVICE = "drafting"
-SETTLED_S = -60.0
+WARM_CACHE_AGE_S = -60.0
 """Time at which engines started: long before the day."""
 
 
@@ -323,7 +323,7 @@
         for name in names:
             slots = run.engines[name].shape.slots
             instance = Instance(name, SERVICE, "10.0.0.1", 1, "fes", slots)
-            dispatcher.registry.put(instance, SETTLED_S)
+            dispatcher.registry.put(instance, WARM_CACHE_AGE_S)
         processor = Processor(cores[number]) if cores else None
         run.routers.append(_Router(dispatcher, processor=processor))
     run.simulate()
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_baselines.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_baselines.py
@@ -14,7 +14,7 @@
 from fulmarroad.types import DataCentreName
 from fulmarroad_serving._routing import (
     OTHER_CENTRE_S,
-    SETTLED_S,
+    WARM_CACHE_AGE_S,
     Candidate,
     Choice,
     PartMemory,
@@ -89,7 +89,7 @@
     is_home: bool,
 ) -> Choice:
     cached = memory.has(prompt.part, row.server, now)
-    cached = cached or (is_home and row.age_s > SETTLED_S)
+    cached = cached or (is_home and row.age_s > WARM_CACHE_AGE_S)
     tokens = prompt.own_tokens + (0 if cached else prompt.shared_tokens)
     read_s = row.base_s + tokens / row.read_rate
     return Choice(row.server, row.wait_s, read_s, tokens, cached)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
@@ -395,7 +395,7 @@
         if service.engine is None:
             part = PLAIN_WAIT_FRACTION * WAIT_FACTOR_PER_RANK**demand.rank
             return part * demand.objective_s
-        if use.yields:
+        if use.idle_engines_only:
             return IDLE_ENGINE_WAIT_S
         slack_s = max(
             demand.objective_s - choice.read_s,
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
@@ -38,7 +38,7 @@
     ServedCall,
     demand_of,
 )
-from fulmarroad_serving._suspects import TRIAL_S, SuspectState, crash_id
+from fulmarroad_serving._suspects import TRIAL_TIMEOUT_S, SuspectState, crash_id
 from fulmarroad_serving.contracts import CallCodec
 from fulmarroad_serving.exceptions import (
     BarredError,
@@ -135,7 +135,7 @@
         run.summary.fingerprint = fingerprint
         if suspect_state is SuspectState.BARRED:
             return BarredError("Servers crashed while they ran the request.")
-        if suspects.tried(fingerprint, now):
+        if suspects.is_running(fingerprint, now):
             return WithheldError(
                 "The request is suspected of crashes and already runs."
             )
@@ -199,9 +199,11 @@
         suspects, now = self._dispatcher.suspects, self._clock()
         if suspects.suspect_state(run.call.fingerprint, now) < SuspectState.ISOLATED:
             return set()
-        tried = suspects.trial_servers(now)
+        is_running = suspects.trial_servers(now)
         rows = [row.instance for row in self._dispatcher.registry.rows()]
-        return {row.id for row in rows if crash_id(row.id, row.started_ms) in tried}
+        return {
+            row.id for row in rows if crash_id(row.id, row.started_ms) in is_running
+        }
 
     async def _attempt(self, run: ActiveCall, placement: Placement) -> SendError | None:
         """Send a call once; return the error if it brought no complete answer."""
@@ -308,7 +310,7 @@
             raise RequestBarred("It ran at several servers, and all of them crashed.")
         if run.progress.ran is Ran.NOT_RUN:
             if isinstance(error, WithheldError):
-                raise Refused(RefusalReason.REQUEST_SUSPECTED, TRIAL_S)
+                raise Refused(RefusalReason.REQUEST_SUSPECTED, TRIAL_TIMEOUT_S)
             raise Refused(RefusalReason.WAIT_TOO_LONG, ALL_REFUSED_RETRY_S)
         if run.remaining_s(self._clock()) <= 0 or isinstance(error, SilentServerError):
             raise TimedOut("The call was sent and brought no answer in time.")
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
@@ -211,11 +211,11 @@
 
     def _on_packet(self, data: bytes, host: str) -> None:
         try:
-            self._take(data)
+            self._receive(data)
         except MessageError as error:
             emit(logger, Event.REPORT_REJECTED, peer=host, cause=error.message)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         row = unpack(data)
         now = self._clock()
         known = self.book.size
@@ -251,9 +251,9 @@
             now = self._clock()
             self._router_state.expire()
             self._update_routers(now)
-            alive = self._tell_changes(alive, now)
+            alive = self._log_changes(alive, now)
 
-    def _tell_changes(self, before: set[RouterName], now: float) -> set[RouterName]:
+    def _log_changes(self, before: set[RouterName], now: float) -> set[RouterName]:
         """Log the peers that became alive or silent and return those alive now."""
         alive = {peer.router: peer for peer in self.book.alive(now)}
         for router in sorted(alive.keys() - before):
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_pool.py
@@ -42,14 +42,14 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._kept: dict[ServerName, _ServerPool] = {}
+        self._server_pools: dict[ServerName, _ServerPool] = {}
         self.opened = 0
 
     async def acquire(
         self, instance: Instance, max_connections: int, routers: int
     ) -> BackendConnection:
         """Return an idle or new connection; raise `NotSentError` if there is none."""
-        pool = self._kept.setdefault(instance.id, _ServerPool())
+        pool = self._server_pools.setdefault(instance.id, _ServerPool())
         while pool.idle:
             connection = pool.idle.pop()
             if connection.reusable and not self._stale(connection):
@@ -72,7 +72,7 @@
 
         A successful connection goes to the pool.
         """
-        pool = self._kept.setdefault(instance.id, _ServerPool())
+        pool = self._server_pools.setdefault(instance.id, _ServerPool())
         pool.open += 1
         try:
             connection = await self._connect(instance)
@@ -91,7 +91,7 @@
 
     def release(self, server: ServerName, connection: BackendConnection) -> None:
         """Return a connection to the pool, or close it if it can't be reused."""
-        pool = self._kept.get(server)
+        pool = self._server_pools.get(server)
         if pool is None:
             connection.close()
         elif connection.reusable:
@@ -102,7 +102,7 @@
 
     def discard(self, server: ServerName, connection: BackendConnection) -> None:
         """Close a connection even if it could be reused."""
-        pool = self._kept.get(server)
+        pool = self._server_pools.get(server)
         if pool is None:
             connection.close()
         else:
@@ -110,17 +110,17 @@
 
     def forget(self, server: ServerName) -> None:
         """Close the idle connections to a removed server."""
-        pool = self._kept.get(server)
+        pool = self._server_pools.get(server)
         if pool is None:
             return
         while pool.idle:
             self._drop(pool, pool.idle.pop())
         if not pool.open:
-            del self._kept[server]
+            del self._server_pools[server]
 
     def prune(self) -> None:
         """Close idle connections that are stale or no longer reusable."""
-        for pool in self._kept.values():
+        for pool in self._server_pools.values():
             for connection in list(pool.idle):
                 if not connection.reusable or self._stale(connection):
                     pool.idle.remove(connection)
@@ -128,7 +128,7 @@
 
     def close(self) -> None:
         """Close every idle connection."""
-        for server in list(self._kept):
+        for server in list(self._server_pools):
             self.forget(server)
 
     def _stale(self, connection: BackendConnection) -> bool:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
@@ -130,7 +130,7 @@
             del self._removed_servers[next(iter(self._removed_servers))]
         return True
 
-    def is_over(self, instance: Instance) -> bool:
+    def has_ended(self, instance: Instance) -> bool:
         """Return whether this run ended: the server was removed or restarted since."""
         row = self._rows.get(instance.id)
         if row is not None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
@@ -103,7 +103,7 @@
         self._pulling_from.add(peer.router)
         try:
             with anyio.fail_after(PULL_TIMEOUT_S):
-                delta = await self._ask(peer.host)
+                delta = await self._request_delta(peer.host)
             self._router_state.apply_delta(delta, peer.store_failure_age_s, peer.router)
         except (OSError, TimeoutError, MessageError, anyio.EndOfStream) as error:
             emit(
@@ -128,9 +128,9 @@
         newest = max(peer.news_at for peer in ahead)
         return self._random.choice([row for row in ahead if row.news_at == newest])
 
-    async def _ask(self, host: str) -> ReplicaDelta:
+    async def _request_delta(self, host: str) -> ReplicaDelta:
         async with await anyio.connect_tcp(host, self._port) as stream:
-            await stream.send(_asked_bytes(self._router_state.replica.at))
+            await stream.send(_encode_request(self._router_state.replica.at))
             await stream.send_eof()
             return _read_delta(await _read_all(stream), self._era)
 
@@ -138,9 +138,9 @@
         async with stream:
             try:
                 with anyio.fail_after(PULL_TIMEOUT_S):
-                    asked = _read_asked(await _read_all(stream), self._era)
+                    asked = _decode_request(await _read_all(stream), self._era)
                     delta = self._router_state.replica.since(asked)
-                    await stream.send(_delta_bytes(delta))
+                    await stream.send(_encode_delta(delta))
                     await stream.send_eof()
             except (OSError, TimeoutError, MessageError) as error:
                 emit(logger, Event.REPLICA_GIVE_FAILED, cause=repr(error))
@@ -161,11 +161,11 @@
             raise MessageError("The peer sent more data than the limit for a copy.")
 
 
-def _asked_bytes(at: Position) -> bytes:
+def _encode_request(at: Position) -> bytes:
     return bytes(msgpack.packb([revision_of(at), era_of(at)]))
 
 
-def _read_asked(data: bytes, era: int = 0) -> Position:
+def _decode_request(data: bytes, era: int = 0) -> Position:
     try:
         row: list[Any] = msgpack.unpackb(data)
         return position(int(row[1]) if len(row) > 1 else era, int(row[0]))
@@ -173,7 +173,7 @@
         raise MessageError("The request of the peer cannot be decoded.") from error
 
 
-def _delta_bytes(delta: ReplicaDelta) -> bytes:
+def _encode_delta(delta: ReplicaDelta) -> bytes:
     items = [
         [item.key, revision_of(item.revision), item.data, era_of(item.revision)]
         for item in delta.items
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -32,7 +32,7 @@
 That is six missed reports, and no packet is delayed in the network for that long.
 """
 
-REMEMBERED_S = 120.0
+PEER_RETENTION_S = 120.0
 """Time without a report after which a peer no longer counts towards the fleet's size.
 
 A replaced VM is back long before. A router whose share of a fleet-wide bound grew too
@@ -388,9 +388,9 @@
         ]
 
     def known_routers(self, now: float) -> list[RouterName]:
-        """Drop peers silent for `REMEMBERED_S` and return all routers, sorted."""
+        """Drop peers silent for `PEER_RETENTION_S` and return all routers, sorted."""
         for name, peer in list(self._peers.items()):
-            if now - peer.updated_at >= REMEMBERED_S:
+            if now - peer.updated_at >= PEER_RETENTION_S:
                 del self._peers[name]
                 self._hosts.pop(name, None)
         return sorted({self._me, *self._hosts})
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
@@ -31,7 +31,7 @@
 
 logger = logging.getLogger("fulmarroad.serving")
 
-REWRITE_S = 10.0
+RESTORE_GRACE_S = 10.0
 """Time for which facts that an older copy of the store lacks are kept after its return.
 
 Operators and servers write them again within seconds.
@@ -117,7 +117,7 @@
         for key, row in list(self._deferred.items()):
             if now >= row.due:
                 del self._deferred[key]
-                self._take(row.fact, row.revision, row.failure_age_s, row.source)
+                self._apply_fact(row.fact, row.revision, row.failure_age_s, row.source)
 
     def _apply(
         self,
@@ -135,13 +135,15 @@
             if fact is None:
                 continue
             if self._may_be_outdated(fact):
-                due = self._restored_at + REWRITE_S
+                due = self._restored_at + RESTORE_GRACE_S
                 revision = revision_of(item.revision)
                 self._deferred[item.key] = _DeferredFact(
                     fact, revision, failure_age_s, source, due
                 )
             else:
-                self._take(fact, revision_of(item.revision), failure_age_s, source)
+                self._apply_fact(
+                    fact, revision_of(item.revision), failure_age_s, source
+                )
         if items:
             self._dispatcher.registry.note_listed()
             self.on_change()
@@ -166,14 +168,14 @@
         Once acknowledged, the removal of a server or the exclusion of a data centre is
         binding, also after the store was restored from an older copy.
         """
-        if self._clock() - self._restored_at >= REWRITE_S:
+        if self._clock() - self._restored_at >= RESTORE_GRACE_S:
             return False
         registry = self._dispatcher.registry
         if isinstance(fact, CentreFact):
             return not fact.excluded and fact.data_centre in registry.centres_left
-        return isinstance(fact, InstanceFact) and registry.is_over(fact.instance)
+        return isinstance(fact, InstanceFact) and registry.has_ended(fact.instance)
 
-    def _take(
+    def _apply_fact(
         self, fact: Fact, revision: int, failure_age_s: float, source: str
     ) -> None:
         if isinstance(fact, CatalogFact):
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
@@ -30,7 +30,7 @@
 from fulmarroad.types import DataCentreName, ServerName
 from fulmarroad_serving._engine_time import reading_price
 
-REMEMBERED_S = 12.0
+CACHED_ASSUMED_S = 12.0
 """Time for which a part that was sent to a server counts as cached there: engines evict
 the least recently used parts, so one that is unused for longer may be evicted."""
 
@@ -46,14 +46,14 @@
 """Maximum number of remembered pairs of part and server; the least recently used parts
 are dropped first."""
 
-SETTLED_S = 3.0
+WARM_CACHE_AGE_S = 3.0
 """Age below which a server is assumed not to have its parts cached yet."""
 
 ON_TIME_FRACTION = 0.75
 """Fraction of the objective within which an estimate counts as on time; the rest is
 margin for calls that other routers send at the same moment."""
 
-EVICTED_PART = 0.5
+EVICTION_COST_FRACTION = 0.5
 """Fraction of a part's reading time that a fetched copy costs other prompts: it uses as
 much memory as one that was read, and the parts evicted for it have to be fetched or
 read again."""
@@ -151,7 +151,7 @@
         """Record that this router sent a part, and queue one report to peers."""
         before = self.sent_at(part, server)
         self.note(part, server, now)
-        if now - before > REMEMBERED_S / 2:
+        if now - before > CACHED_ASSUMED_S / 2:
             self._unreported[(part, server)] = None
 
     def pop_updates(self, most: int) -> tuple[tuple[PartId, ServerName], ...]:
@@ -181,7 +181,7 @@
 
     def has(self, part: PartId, server: ServerName, now: float) -> bool:
         """Return whether a server was recently sent a part."""
-        return now - self.sent_at(part, server) < REMEMBERED_S
+        return now - self.sent_at(part, server) < CACHED_ASSUMED_S
 
     def forget(self, server: ServerName) -> None:
         """Drop the entries of a server that restarted."""
@@ -293,7 +293,7 @@
     if source:
         fetch_s = prompt.fetch_s(row.fetch_rate)
         if fetch_s < again_s:
-            return read_s + fetch_s, max(fetch_s, EVICTED_PART * again_s), own
+            return read_s + fetch_s, max(fetch_s, EVICTION_COST_FRACTION * again_s), own
     return read_s + again_s, again_s, own + prompt.shared_tokens
 
 
@@ -309,11 +309,11 @@
         return []
     times = memory.holders(prompt.part)
     sent = [(times.get(row.server, NEVER), row) for row in candidates]
-    recent = [(at, row.server) for at, row in sent if now - at < REMEMBERED_S]
+    recent = [(at, row.server) for at, row in sent if now - at < CACHED_ASSUMED_S]
     recent.sort(key=lambda pair: pair[0], reverse=True)
     holders = [server for _, server in recent]
     for _, row in sent:
-        is_home = positions[row.server] == 0 and row.age_s > SETTLED_S
+        is_home = positions[row.server] == 0 and row.age_s > WARM_CACHE_AGE_S
         if is_home and row.server not in holders:
             holders.append(row.server)
     return holders
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_shares.py
@@ -36,12 +36,12 @@
 """Interval at which totals and levels are recomputed; peers' counts are older than
 that."""
 
-LACKING_PART = 0.6
+UNDERSERVED_FRACTION = 0.6
 """Fraction of its demand, or of what the best served workspace gets if that is less,
 below which a workspace is underserved. Shares count as unfair below a fraction of a
 half; the rest is margin."""
 
-LACKING_ASKED = 0.2
+MIN_UNDERSERVED_DEMAND = 0.2
 """Minimum demand of an underserved workspace, as a fraction of what the best served one
 gets: a few calls refused by chance are no reason to refuse others."""
 
@@ -109,8 +109,8 @@
     return frozenset(
         name
         for name, count in totals.items()
-        if count.asked >= LACKING_ASKED * most
-        and count.got < LACKING_PART * min(count.asked, most)
+        if count.asked >= MIN_UNDERSERVED_DEMAND * most
+        and count.got < UNDERSERVED_FRACTION * min(count.asked, most)
     )
 
 
@@ -141,7 +141,7 @@
     shortage: float = 0.0  # refused fraction of the total demand
 
     @property
-    def yields(self) -> bool:
+    def idle_engines_only(self) -> bool:
         """Return whether the workspace may only use idle engines.
 
         Engines' queues grow and shrink within a tenth of a second. A workspace with
@@ -249,7 +249,7 @@
         is_underserved = workspace in self._underserved
         return ShareUse(
             _used_fraction(used, self._share_level),
-            among_largest=used > LACKING_PART * self._largest_got
+            among_largest=used > UNDERSERVED_FRACTION * self._largest_got
             and not is_underserved,
             is_underserved=is_underserved,
             others_underserved=bool(self._underserved - {workspace}),
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
@@ -37,7 +37,7 @@
 servers that crash at the same time.
 """
 
-TRIAL_S = 1.0
+TRIAL_TIMEOUT_S = 1.0
 """Time for which a run of a suspect that a peer reported counts as in progress.
 
 A request that crashes servers waits and runs for less time before the crash.
@@ -179,12 +179,12 @@
             if self.suspect_state(name, now) is SuspectState.BARRED
         }
 
-    def tried(self, fingerprint: Fingerprint, now: float) -> bool:
+    def is_running(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether a copy of a suspect is known to run, here or elsewhere."""
         if self._running.get(fingerprint):
             return True
         record = self._records.get(fingerprint)
-        return record is not None and now - record.trial_started_at < TRIAL_S
+        return record is not None and now - record.trial_started_at < TRIAL_TIMEOUT_S
 
     def trial_servers(self, now: float) -> set[CrashId]:
         """Return the servers that run a request with two crashes or more.
@@ -194,7 +194,7 @@
         return {
             record.trial_server
             for record in self._records.values()
-            if now - record.trial_started_at < TRIAL_S
+            if now - record.trial_started_at < TRIAL_TIMEOUT_S
             and record.count() >= SuspectState.ISOLATED
         }
 
@@ -328,7 +328,7 @@
             now - record.success_at if record.success_at > -math.inf else None
         )
         trial = None
-        if now - record.trial_started_at < TRIAL_S:
+        if now - record.trial_started_at < TRIAL_TIMEOUT_S:
             trial = (record.trial_server, now - record.trial_started_at)
         return SuspectRow(fingerprint, ends, success_age_s, trial)
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
@@ -51,7 +51,7 @@
         self._rate = rate
         self._call_records: deque[logging.LogRecord] = deque()
         self._state_records: deque[logging.LogRecord] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self.dropped = 0
 
     @property
@@ -80,31 +80,33 @@
         if self.dropped and len(self._state_records) < QUEUE_LINES:
             self._state_records.append(self._dropped_record())
             self.dropped = 0
-        while (records := self._state_records or self._call_records) and not self._rest:
+        while (
+            records := self._state_records or self._call_records
+        ) and not self._unwritten:
             if lines <= 0:
                 break
             lines -= 1
             record = records.popleft()
-            self._rest = self.format(record).encode() + b"\n"
-            self._push()
-        self._push()
+            self._unwritten = self.format(record).encode() + b"\n"
+            self._write_pending()
+        self._write_pending()
 
     def drain(self) -> None:
         """Write the remaining records at the end of the process."""
         self.write(QUEUE_LINES)
 
-    def _push(self) -> None:
-        if not self._rest:
+    def _write_pending(self) -> None:
+        if not self._unwritten:
             return
         try:
-            written = os.write(self._descriptor, self._rest)
+            written = os.write(self._descriptor, self._unwritten)
         except BlockingIOError:
             return
         except OSError:
             # The reader of the log has closed it, which must not stop the process.
             self.dropped += 1
-            written = len(self._rest)
-        self._rest = self._rest[written:]
+            written = len(self._unwritten)
+        self._unwritten = self._unwritten[written:]
 
     def _dropped_record(self) -> logging.LogRecord:
         kind = Event.LOG_LINES_DROPPED.value
--- a/packages/fulmarroad-serving/tests/serving_bed.py
+++ b/packages/fulmarroad-serving/tests/serving_bed.py
@@ -217,7 +217,7 @@
         self.apply_fact(CatalogFact(make_catalog()))
 
     def apply_fact(self, fact):
-        self.beliefs._take(fact, 1, 60.0, "test")
+        self.beliefs._apply_fact(fact, 1, 60.0, "test")
 
     async def serve(self, name, script, service="ledger", slots=8):
         """Start a server; `script(arrival, writer)` answers each request."""
--- a/packages/fulmarroad-serving/tests/test_attempts.py
+++ b/packages/fulmarroad-serving/tests/test_attempts.py
@@ -8,7 +8,7 @@
 
 
 class TestAtMostOnce:
-    def test_an_unknown_outcome_ends_a_call_that_may_not_be_repeated(self):
+    def test_an_at_most_once_call_is_not_sent_again_after_an_unknown_outcome(self):
         """A server makes a booking and its answer is lost. If the router sent the call
         again, or reported it as not run so that the caller did, it would book twice.
         """
@@ -31,7 +31,7 @@
         st.integers(1, 4),
         st.lists(st.sampled_from(list(SendOutcome)), max_size=8),
     )
-    def test_no_sequence_of_outcomes_breaks_a_promise(
+    def test_any_sequence_of_outcomes_keeps_the_retry_rules(
         self, repeatable, max_attempts, outcomes
     ):
         progress = CallProgress(repeatable, max_attempts)
--- a/packages/fulmarroad-serving/tests/test_bounded_log.py
+++ b/packages/fulmarroad-serving/tests/test_bounded_log.py
@@ -46,7 +46,7 @@
         log.write(1)
         assert json.loads(os.read(read, 1 << 16))["event"] == 421
 
-    def test_a_full_pipe_holds_nobody_up_and_cuts_no_line(self):
+    def test_a_full_pipe_neither_blocks_nor_truncates_lines(self):
         """The reader of the router's output stops reading for a while. A blocking write
         would stall every call in the process.
         """
--- a/packages/fulmarroad-serving/tests/test_callers.py
+++ b/packages/fulmarroad-serving/tests/test_callers.py
@@ -12,7 +12,7 @@
 
 
 class TestKeys:
-    def test_an_unknown_key_is_turned_away(self):
+    def test_an_unknown_key_is_rejected(self):
         async def test(bed):
             await bed.serve("s-1", echo)
             assert (await bed.call(key=b"other")).status == 401
@@ -30,7 +30,7 @@
 
         run(test)
 
-    def test_a_withdrawn_key_ends_with_its_version(self):
+    def test_an_older_version_does_not_restore_a_withdrawn_key(self):
         async def test(bed):
             await bed.serve("s-1", echo)
             bed.apply_fact(CatalogFact(make_catalog(2, holders=())))
--- a/packages/fulmarroad-serving/tests/test_ended_servers.py
+++ b/packages/fulmarroad-serving/tests/test_ended_servers.py
@@ -154,7 +154,7 @@
             assert not await bed.pool.refuses(instance)
             bed._servers[0].close()
             assert await bed.pool.refuses(instance)
-            assert not bed.pool._kept
+            assert not bed.pool._server_pools
 
         run(test)
 
--- a/packages/fulmarroad-serving/tests/test_forwarding.py
+++ b/packages/fulmarroad-serving/tests/test_forwarding.py
@@ -90,7 +90,7 @@
 
         run(test)
 
-    def test_a_late_second_answer_goes_to_nobody(self):
+    def test_a_late_second_answer_is_discarded(self):
         """A faulty server answers one call twice. If the second answer arrives after
         the connection is reused, the next caller would get another caller's data.
         """
@@ -114,7 +114,7 @@
 
         run(test)
 
-    def test_bytes_behind_an_answer_spoil_the_connection(self):
+    def test_a_connection_with_bytes_after_an_answer_is_not_reused(self):
         async def test(bed):
             await bed.serve("s-1", respond_with(answer(), b"left over"))
             assert (await bed.call()).body == b"done"
@@ -123,7 +123,7 @@
 
         run(test)
 
-    def test_a_success_without_signature_is_no_success(self):
+    def test_a_success_without_signature_is_rejected(self):
         """A VM that took over an address answers calls meant for another server. If
         forwarded, its page would look like the confirmation of a booking.
         """
@@ -169,7 +169,7 @@
 
         run(test)
 
-    def test_an_answer_before_the_body_was_read_leaves_the_connection(self):
+    def test_a_connection_answered_before_the_request_is_sent_is_not_reused(self):
         """A server rejects a long request before it has read all of it and reads the
         rest later. It would read the next request on that connection as this rest.
         """
@@ -212,7 +212,7 @@
 
         run(test)
 
-    def test_a_refusal_that_does_not_say_not_run_is_not_told_as_one(self):
+    def test_a_503_without_a_not_run_mark_is_not_forwarded(self):
         """A server answers 503 after it has started the call. If the caller got the
         503, which means "not run", it would send the call again and run it twice.
         """
@@ -236,7 +236,7 @@
 
         run(test)
 
-    def test_another_server_at_the_address_takes_the_first_out(self):
+    def test_a_misdirected_answer_removes_the_server(self):
         async def test(bed):
             await bed.serve("s-1", echo(421, extra="x-not-run: 1\r\n"))
             await bed.call("/post/1", method="POST", body=b"x")
@@ -259,7 +259,7 @@
 
 
 class TestConnections:
-    def test_a_router_at_its_own_bound_does_not_take_the_server_for_lost(self):
+    def test_the_connection_limit_does_not_mark_a_server_unreachable(self):
         """A burst uses all connections that the router may open to a server. If that
         counted as an unreachable server, a healthy server would get no calls for
         seconds.
@@ -287,7 +287,7 @@
 
 
 class TestPauses:
-    def test_a_call_whose_time_ran_out_in_a_pause_is_not_sent(self):
+    def test_a_call_that_expired_during_a_pause_is_not_sent(self):
         """A VM is paused for seconds just after a call arrives, and the caller gives up
         meanwhile. If the call were still sent, a server would work for nobody or make a
         booking that the caller believes was never made.
@@ -311,7 +311,7 @@
 
         run(test)
 
-    def test_a_slow_router_gives_servers_only_the_time_that_is_left(self):
+    def test_servers_are_given_only_the_remaining_time(self):
         """A router runs several times slower than usual. If servers were given the
         caller's full timeout, they would work on after the caller has given up.
         """
@@ -333,7 +333,7 @@
         run(test)
 
 
-class TestRepeating:
+class TestRetries:
     def test_a_failed_call_is_retried_at_another_server(self):
         async def test(bed):
             seen = []
@@ -384,7 +384,7 @@
 
         run(test)
 
-    def test_a_slow_server_is_waited_for_where_no_repeat_is_left(self):
+    def test_a_call_waits_for_a_slow_server_without_retry_budget(self):
         """Engines are so overloaded that first answers take over a second, and the
         retry budget is used up. When the router gave up after that second, callers with
         six seconds left got a timeout instead of an answer that was about to arrive.
@@ -440,7 +440,7 @@
 
         run(test)
 
-    def test_a_stream_whose_server_dies_goes_on_after_its_last_event(self):
+    def test_a_stream_is_resumed_after_the_last_complete_event(self):
         """A server fails in the middle of an event. The incomplete event must not be
         joined with the next server's data, and no event may be lost or duplicated.
         """
@@ -469,7 +469,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(st.lists(st.integers(1, 12), min_size=1, max_size=30))
-    def test_events_are_whole_however_the_network_cuts_them(self, sizes):
+    def test_events_are_complete_for_any_chunk_sizes(self, sizes):
         data = b"".join(event(n) for n in range(9))
         splitter, passed = EventSplitter(), b""
         for size in sizes:
@@ -482,7 +482,7 @@
         expected = b"".join(event(n) for n in range(9))
         assert passed + splitter.pending + data == expected
 
-    def test_a_stream_that_cannot_be_resumed_does_not_look_whole(self):
+    def test_a_stream_that_cannot_be_resumed_is_aborted(self):
         async def test(bed):
             async def script(arrival, writer):
                 writer.write(stream_head(arrival.header("x-id")) + chunk(event(1)))
@@ -497,7 +497,7 @@
 
         run(test)
 
-    def test_a_caller_who_leaves_ends_the_work(self):
+    def test_a_disconnected_caller_cancels_the_work(self):
         """A caller disconnects while its answer is generated. If the server connection
         stayed open, the engine would continue for nobody.
         """
@@ -530,7 +530,7 @@
         run(test)
 
 
-class TestTimes:
+class TestTimeouts:
     def test_a_call_past_the_route_timeout_is_answered_with_504(self):
         async def test(bed):
             route = evolve(PLAIN, timeout_s=0.3, max_attempts=1)
--- a/packages/fulmarroad-serving/tests/test_node.py
+++ b/packages/fulmarroad-serving/tests/test_node.py
@@ -159,8 +159,8 @@
         assert (logged["asked"], logged["got"], logged["level"]) == (900, 200, 200)
 
 
-class TestLife:
-    def test_ready_once_the_configuration_is_known_and_unready_as_it_drains(self):
+class TestLifecycle:
+    def test_ready_once_the_configuration_is_loaded_and_unready_while_draining(self):
         """A process starts while the store is unreachable and is later stopped. If it
         were ready too early, it would refuse calls; if it stopped immediately, it would
         lose running calls.
@@ -214,7 +214,7 @@
 
         run_node(test)
 
-    def test_seeds_are_read_again_on_a_signal(self):
+    def test_seeds_are_reloaded_and_kept_if_unreadable(self):
         async def test(node, store, ended):
             node._read_seeds = lambda: ("127.0.0.10",)
             node._reload()
--- a/packages/fulmarroad-serving/tests/test_platform_calls.py
+++ b/packages/fulmarroad-serving/tests/test_platform_calls.py
@@ -48,7 +48,7 @@
         assert (head.shared_tokens, head.own_tokens) == (1210, 250)
         assert head.output_tokens == 80
 
-    def test_a_caller_cannot_set_what_is_the_systems(self):
+    def test_a_caller_cannot_set_router_headers(self):
         """A caller sets another workspace's name, or a reservation that is not its own.
         Forwarded, the call would be charged to that workspace.
         """
--- a/packages/fulmarroad-serving/tests/test_reading.py
+++ b/packages/fulmarroad-serving/tests/test_reading.py
@@ -26,9 +26,9 @@
 from fulmarroad_serving._pool import ConnectionPool
 from fulmarroad_serving._reader import StoreReader
 from fulmarroad_serving._replica import ReplicaDelta
-from fulmarroad_serving._replica_sync import ReplicaSync, _read_asked, _read_delta
+from fulmarroad_serving._replica_sync import ReplicaSync, _decode_request, _read_delta
 from fulmarroad_serving._reports import (
-    REMEMBERED_S,
+    PEER_RETENTION_S,
     Member,
     PeerBook,
     PeerReport,
@@ -139,7 +139,7 @@
 
         read(test)
 
-    def test_a_lost_history_is_read_anew(self):
+    def test_a_lost_history_causes_a_new_listing(self):
         """The store drops its history while a server is removed. A router that only
         kept watching would never see the removal and would use the server forever.
         """
@@ -153,7 +153,7 @@
 
         read(test)
 
-    def test_servers_stay_in_use_while_the_store_is_away(self):
+    def test_servers_stay_in_use_while_the_store_is_unreachable(self):
         """The store is unreachable for six seconds; its entries expire and one is
         written again a second after its return. Running servers must stay in use
         meanwhile.
@@ -242,7 +242,7 @@
 
         fleet.run(test)
 
-    def test_a_router_that_the_store_turns_away_learns_from_a_peer(self):
+    def test_a_router_refused_by_the_store_gets_changes_from_a_peer(self):
         """The store refuses one router while a key is revoked and a server is removed.
         Without the peer's changes the router would accept the key and use the server.
         """
@@ -280,10 +280,10 @@
         stale = evolve(TestReports.KNOWN, router="c", age_s=5.0)
         peers.book.receive_report(evolve(TestReports.REPORT, known=(stale,)), 10.0)
         with caplog.at_level("INFO", logger="fulmarroad.serving"):
-            heard = peers._tell_changes(set(), 10.1)
-            heard = peers._tell_changes(heard, 10.2)
-            heard = peers._tell_changes(heard, 13.0)
-            peers._tell_changes(heard, 13.3)
+            heard = peers._log_changes(set(), 10.1)
+            heard = peers._log_changes(heard, 10.2)
+            heard = peers._log_changes(heard, 13.0)
+            peers._log_changes(heard, 13.3)
         events = [(row.name_of_event, row.peer) for row in caplog.records]
         assert events == [("peer_heard", "a"), ("peer_silent", "a")]
 
@@ -374,7 +374,7 @@
 
         fleet.run(test)
 
-    def test_a_router_that_starts_is_soon_known(self):
+    def test_a_starting_router_is_discovered_soon(self):
         """All routers are killed and restart. Until they discover each other, each sees
         only its own calls and together they overload the engines.
         """
@@ -409,7 +409,7 @@
 
 
 class TestReplicaSync:
-    def test_a_peer_that_cannot_be_reached_does_not_keep_the_news_back(self):
+    def test_an_unreachable_peer_does_not_delay_changes(self):
         """Two data centres can't reach each other but both reach a third, so a router
         learns of a newer copy in the other one and can't fetch it. Unless it asks
         nearby peers with a slightly older copy, it sends calls to removed servers as
@@ -434,7 +434,7 @@
                     await anyio.sleep_forever()
                 return ReplicaDelta(8, False, (ReplicaItem("op/config", 8, b"8"),))
 
-            copies._ask = ask
+            copies._request_delta = ask
             async with anyio.create_task_group() as group:
                 group.start_soon(copies.pull_changes)
                 while beliefs.catalog.version < 8:
@@ -451,11 +451,11 @@
         than `MessageError` would end the task that serves copies to all peers.
         """
         with pytest.raises(MessageError):
-            _read_asked(msgpack.packb(row))
+            _decode_request(msgpack.packb(row))
 
     @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93\x01"])
     def test_malformed_bytes_raise_message_error(self, data):
-        for read in (_read_asked, _read_delta):
+        for read in (_decode_request, _read_delta):
             with pytest.raises(MessageError):
                 read(data)
 
@@ -502,7 +502,7 @@
             evolve(TestReports.REPORT, incarnation=6, sequence=1), 11.0
         )
 
-    def test_a_router_whose_time_of_day_was_set_back_is_heard_after_its_restart(self):
+    def test_a_router_restarted_with_an_earlier_wall_clock_is_accepted(self):
         """A VM's wall clock is set back by seconds and its router restarts, so the new
         incarnation is lower than the previous one. Peers would ignore its reports and
         send calls to engines that it has filled until they forget the previous run.
@@ -515,7 +515,7 @@
         assert book.alive(11.2)[0].incarnation == 2
         assert book.receive_report(evolve(again, sequence=6), 11.3)
 
-    def test_a_router_that_stood_still_believes_nothing_it_heard_before(self):
+    def test_a_router_discards_old_reports_after_a_freeze(self):
         """A VM is frozen for five seconds. With the loads and readers known before, its
         router would send calls to engines that are busy now and wait for a reader that
         may be gone.
@@ -524,7 +524,7 @@
         dispatcher, _, peers = fleet.nodes["b"]
         clock = [10.0]
         peers._clock = lambda: clock[0]
-        peers._take(pack_report(TestReports.REPORT))
+        peers._receive(pack_report(TestReports.REPORT))
         assert [peer.router for peer in peers.book.alive(clock[0])] == ["a"]
         assert dispatcher.load("s").total_running(clock[0]) == 2
         clock[0] += 5.0
@@ -536,7 +536,7 @@
     def test_a_router_without_reports_is_forgotten_in_the_end(self):
         book = PeerBook("z", "127.0.0.9")
         book.receive_report(TestReports.REPORT, 10.0)
-        assert "a" not in book.known_routers(10.0 + REMEMBERED_S)
+        assert "a" not in book.known_routers(10.0 + PEER_RETENTION_S)
 
 
 class TestReports:
--- a/packages/fulmarroad-serving/tests/test_registry.py
+++ b/packages/fulmarroad-serving/tests/test_registry.py
@@ -12,7 +12,7 @@
     return [row.instance.id for row in registry.usable("drafting")]
 
 
-class TestLeaving:
+class TestRemoval:
     def test_a_draining_server_gets_nothing(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
@@ -25,7 +25,7 @@
         assert registry.remove("s-1", 1.0)
         assert usable(registry) == []
 
-    def test_a_data_centre_that_is_left_gets_nothing_until_it_is_back(self):
+    def test_an_excluded_data_centre_gets_nothing_until_it_is_included(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
         registry.exclude_centre("fes")
@@ -91,7 +91,7 @@
         assert registry.remove("s-1", 10.0, store_failure_age_s=0.0)
 
 
-class TestWarmth:
+class TestColdServers:
     def test_a_server_restarted_under_its_id_is_cold(self):
         registry = Registry()
         registry.put(SERVER, 0.0)
--- a/packages/fulmarroad-serving/tests/test_replica.py
+++ b/packages/fulmarroad-serving/tests/test_replica.py
@@ -11,7 +11,7 @@
 
 
 class TestMerging:
-    def test_an_older_item_that_comes_late_changes_nothing(self):
+    def test_an_older_item_that_arrives_late_changes_nothing(self):
         """A router gets a change from the store and later the former value from a slow
         peer. Applying that value would make a revoked key valid again.
         """
@@ -52,7 +52,7 @@
         assert (copy.at, copy.news_at) == (8, 3)
 
 
-class TestHandingOn:
+class TestDeltas:
     def test_a_peer_gets_only_the_items_it_is_missing(self):
         copy = StateReplica()
         copy.replace([item("a", 1)], 1)
@@ -61,7 +61,9 @@
         assert not delta.is_snapshot
         assert delta.items == (ReplicaItem("a", 3),)
 
-    def test_a_peer_that_saw_what_a_listing_no_longer_names_gets_the_whole_copy(self):
+    def test_a_peer_with_a_server_missing_from_a_newer_listing_gets_the_whole_copy(
+        self,
+    ):
         """A router starts and lists the store after a server was removed. A peer that
         the store refuses still has the server and asks this router for changes. A delta
         without the removal would leave the server in use at that peer.
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -94,8 +94,8 @@
         await anyio.sleep(0)
 
 
-class TestNews:
-    def test_a_router_at_its_limit_learns_in_time_that_a_server_leaves(self):
+class TestUpdates:
+    def test_an_overloaded_router_learns_in_time_that_a_server_drains(self):
         """A small VM is so overloaded by one caller that each loop iteration takes a
         tenth of a second. A peer reports a change, but fetching it takes ten iterations
         and times out after 0.6 s each time. The router then keeps sending calls to a
@@ -116,10 +116,10 @@
 
             async def receive_reports():
                 while True:
-                    small.peers._take(reader.packet())
+                    small.peers._receive(reader.packet())
                     await anyio.sleep(REPORT_S)
 
-            small.peers._replica_sync._ask = ask
+            small.peers._replica_sync._request_delta = ask
             async with anyio.create_task_group() as group:
                 for _ in range(int(0.1 / STEP_S)):
                     group.start_soon(keep_busy)
@@ -138,7 +138,7 @@
 
         run_slowly(test)
 
-    def test_packets_that_wait_are_read_in_one_turn(self):
+    def test_queued_packets_are_read_in_one_iteration(self):
         """Each loop iteration of a router takes a tenth of a second. If it read one
         report per iteration, reports would queue up, and it would use loads and counts
         as old as the queue.
@@ -209,7 +209,7 @@
     clock = anyio.current_time
     node = make_node("a", "127.0.0.2", 0.1)
     catalog = make_catalog(routes=(evolve(OPEN, kind=kind),))
-    node.beliefs._take(CatalogFact(catalog), 1, 60.0, "test")
+    node.beliefs._apply_fact(CatalogFact(catalog), 1, 60.0, "test")
     gate = CallGate()
     gate.open()
     lateness = LoopLateness()
@@ -267,7 +267,7 @@
         run_slowly(test)
         return callers
 
-    def test_callers_are_soon_told_to_go_elsewhere(self):
+    def test_streams_are_rejected_quickly_under_overload(self):
         """The balancer sends all connections of one large caller to a small VM. Each
         call lengthens every loop iteration, so all of them wait for seconds, and the
         workspace gets far less than others while other VMs are idle. This happened when
@@ -291,7 +291,7 @@
         late = [row for row in callers if row.took_s >= 2 * PATIENCE_S]
         assert len(late) <= 0.01 * len(callers)
 
-    def test_a_router_at_its_limit_serves_what_it_carries(self):
+    def test_an_overloaded_router_still_serves_calls(self):
         """Rejecting calls takes processor time too. A router that rejected all calls
         while it is overloaded would serve nobody.
         """
@@ -359,7 +359,7 @@
         guard.adapt(now)
 
 
-class TestSaturated:
+class TestSaturation:
     """One large caller opens a new connection to a small VM for each call and keeps it.
     While the balancer sends more, thousands stay open, and the router runs out of file
     descriptors for connections to servers and peers.
--- a/packages/fulmarroad-serving/tests/test_shares.py
+++ b/packages/fulmarroad-serving/tests/test_shares.py
@@ -65,8 +65,8 @@
         for workspace, asked, got in (("often", 9_000, 1_800), ("seldom", 1_500, 600)):
             book.note_asked(workspace, asked, now)
             book.note_got(workspace, got, now)
-        assert book.use_of("often", 100, now).yields
-        assert not book.use_of("seldom", 100, now).yields
+        assert book.use_of("often", 100, now).idle_engines_only
+        assert not book.use_of("seldom", 100, now).idle_engines_only
 
     def test_underserved_workspace_may_spread_to_any_engine(self):
         """A workspace above its share is restricted to engines that have its parts
@@ -97,14 +97,14 @@
         seldom = book.use_of("seldom", 10_000, now)
         assert seldom.used_fraction > 1.0
         assert seldom.wait_fraction == UNDERSERVED_WAIT_FRACTION
-        assert book.use_of("often", 10_000, now).yields
+        assert book.use_of("often", 10_000, now).idle_engines_only
 
     def test_no_workspace_yields_while_others_get_their_demand(self):
         book, now = ShareBook(), 10.0
         for workspace, asked, got in (("often", 9_000, 1_800), ("seldom", 600, 500)):
             book.note_asked(workspace, asked, now)
             book.note_got(workspace, got, now)
-        assert not book.use_of("often", 100, now).yields
+        assert not book.use_of("often", 100, now).idle_engines_only
 
     def test_better_served_of_two_large_workspaces_may_wait_less(self):
         """Two workspaces ask for several times the engines' capacity, one for twice as
--- a/packages/fulmarroad-serving/tests/test_store_returns.py
+++ b/packages/fulmarroad-serving/tests/test_store_returns.py
@@ -32,9 +32,9 @@
 from fulmarroad_serving._registry import LAPSE_GRACE_S
 from fulmarroad_serving._replica import ReplicaDelta
 from fulmarroad_serving._replica_sync import (
-    _asked_bytes,
-    _delta_bytes,
-    _read_asked,
+    _decode_request,
+    _encode_delta,
+    _encode_request,
     _read_delta,
 )
 from fulmarroad_serving._reports import (
@@ -44,7 +44,7 @@
     read_member,
     read_report,
 )
-from fulmarroad_serving._router_state import REWRITE_S, RouterState
+from fulmarroad_serving._router_state import RESTORE_GRACE_S, RouterState
 from fulmarroad_serving.contracts import CatalogFact, InstanceFact, InstanceRemovedFact
 
 ROUTERS = st.sampled_from("ab")
@@ -158,7 +158,7 @@
         assert rows[1].at < rows[0].at + 1
 
 
-class TestReturns:
+class TestRestoredStore:
     def test_writes_after_a_restore_are_in_force_in_time(self):
         """A restored store assigns revisions that routers have seen before to new
         writes. Routers that ignored these writes answered 404 for an added route and
@@ -316,8 +316,8 @@
             ReplicaItem("b", position(2, 7)),
         )
         delta = ReplicaDelta(position(2, 8), True, items)
-        assert _read_delta(_delta_bytes(delta), era=9) == delta
-        assert _read_asked(_asked_bytes(position(2, 8)), era=9) == position(2, 8)
+        assert _read_delta(_encode_delta(delta), era=9) == delta
+        assert _decode_request(_encode_request(position(2, 8)), era=9) == position(2, 8)
 
     def test_messages_of_the_previous_release_use_the_receivers_era(self):
         """Routers of the previous release state revisions without an era. Read as the
@@ -327,7 +327,7 @@
         assert _read_delta(old, era=3).items == (
             ReplicaItem("a", position(3, 7), b"x"),
         )
-        assert _read_asked(msgpack.packb([8]), era=3) == position(3, 8)
+        assert _decode_request(msgpack.packb([8]), era=3) == position(3, 8)
         report = FleetBed(1).report("h0")
         row = msgpack.unpackb(pack_report(evolve(report, news_at=position(2, 44))))
         assert read_report(row, era=3).news_at == position(2, 44)
@@ -344,7 +344,7 @@
             _read_delta(msgpack.packb([revision, False, [], era]))
 
 
-class TestDoubts:
+class TestUnconfirmedFacts:
     def make(self):
         """Return a router state that contains a server's removal before the restore."""
         now = [100.0]
@@ -367,7 +367,7 @@
         """
         beliefs, registry, now = self.make()
         self.restore_copy(beliefs)
-        now[0] += REWRITE_S - 0.1
+        now[0] += RESTORE_GRACE_S - 0.1
         beliefs.expire()
         assert not registry.usable("drafting")
         now[0] += 0.2
@@ -379,7 +379,7 @@
         self.restore_copy(beliefs)
         removal = ReplicaItem("server/s1", position(2, 9), None)
         beliefs.apply_changes([removal], position(2, 9), 60.0, "store")
-        now[0] += 2 * REWRITE_S
+        now[0] += 2 * RESTORE_GRACE_S
         beliefs.expire()
         assert not registry.usable("drafting")
 
@@ -530,7 +530,7 @@
         self.lost_changes_are_written_again()
         for name in self.routers:
             self.a_router_lists(name)
-        self.now += REWRITE_S + LAPSE_GRACE_S
+        self.now += RESTORE_GRACE_S + LAPSE_GRACE_S
         for beliefs, registry in self.routers.values():
             beliefs.expire()
             config = self.items.get("config")
--- a/packages/fulmarroad-serving/tests/test_suspects.py
+++ b/packages/fulmarroad-serving/tests/test_suspects.py
@@ -26,7 +26,7 @@
     MAX_SUSPECT_ANSWERING_S,
     RETENTION_S,
     SUCCESS_WINDOW_S,
-    TRIAL_S,
+    TRIAL_TIMEOUT_S,
     SuspectRow,
     Suspects,
     SuspectState,
@@ -229,10 +229,10 @@
         first = suspects_with_crashes(1.0)
         first.begin(POISON, 77, 4.9)
         receiver = self.receive_from(first, now=5.0)
-        assert receiver.tried(POISON, 5.0)
-        assert not receiver.tried(POISON, 4.9 + TRIAL_S)
+        assert receiver.is_running(POISON, 5.0)
+        assert not receiver.is_running(POISON, 4.9 + TRIAL_TIMEOUT_S)
         first.end(POISON)
-        assert not first.tried(POISON, 5.0)
+        assert not first.is_running(POISON, 5.0)
 
     def test_rows_survive_encoding_and_decoding(self):
         row = SuspectRow(POISON, ((7, 0.25), (2**63, 1.5)), 0.5, (9, 0.25))
@@ -448,12 +448,12 @@
         if suspects.suspect_state(request, self.now) is SuspectState.BARRED:
             self.barred += request != POISON
             return
-        if suspects.tried(request, self.now):
+        if suspects.is_running(request, self.now):
             return
         free = [n for n in self._running if n != avoid]
         if suspects.suspect_state(request, self.now) is SuspectState.ISOLATED:
-            tried = suspects.trial_servers(self.now)
-            free = [n for n in free if n not in tried]
+            is_running = suspects.trial_servers(self.now)
+            free = [n for n in free if n not in is_running]
         if not free:
             self._repeats.append((self.now + self._random.uniform(0.8, 1.6), request))
             return
--- a/packages/fulmarroad-serving/tests/test_workspace_ends.py
+++ b/packages/fulmarroad-serving/tests/test_workspace_ends.py
@@ -54,7 +54,10 @@
         """
         written = []
         log = BoundedLog("router-a")
-        log._push = lambda: (written.append(log._rest), setattr(log, "_rest", b""))
+        log._write_pending = lambda: (
+            written.append(log._unwritten),
+            setattr(log, "_unwritten", b""),
+        )
         logger = logging.Logger("test")
         logger.addHandler(log)
         for _ in range(QUEUE_LINES + 1):
