--- a/packages/fulmarroad/src/fulmarroad/_commands.py
+++ b/packages/fulmarroad/src/fulmarroad/_commands.py
@@ -20,7 +20,7 @@
 
 @frozen
 class Submit:
-    """Ask for a lease; the answer comes on `reply`."""
+    """Request a lease; the grant or rejection is sent on `reply`."""
 
     ask: Ask
     reply: Reply
@@ -28,28 +28,32 @@
 
 @frozen
 class Cancel:
-    """Withdraw a demand whose caller is no longer interested."""
+    """Withdraw a demand whose caller no longer needs it."""
 
     demand_id: str
 
 
 @frozen
 class GiveUp:
-    """Refuse a waiting demand at once; its request gets the rejection."""
+    """Reject a waiting demand at once with the given rejection."""
 
     rejection: Rejected
 
 
 @frozen
 class NoteStarted:
-    """Tell the scheduler that a lease's request has been sent."""
+    """Report to the scheduler that a lease's request has been sent."""
 
     lease_id: str
 
 
 @frozen
 class NoteProgress:
-    """Add service used by a lease, once with how fast its answer comes."""
+    """Add service used by a lease.
+
+    One such command of a lease also carries the time to the first byte of its answer
+    and the mean time between chunks, in seconds.
+    """
 
     lease_id: str
     service: float
@@ -59,21 +63,21 @@
 
 @frozen
 class NoteFinished:
-    """Tell the scheduler that a lease ended."""
+    """Report to the scheduler that a lease ended."""
 
     report: m.Finished
 
 
 @frozen
 class SetTables:
-    """Put new tables in force."""
+    """Apply new tables."""
 
     tables: Tables
 
 
 @frozen
 class SetMembers:
-    """Take the membership's view: live routers and where peers listen."""
+    """Set the live routers and the addresses of peers, as membership reports them."""
 
     live: Mapping[DataCentreName, tuple[RouterName, ...]]
     addresses: Mapping[RouterName, PeerAddress]
@@ -81,26 +85,26 @@
 
 @frozen
 class SetVms:
-    """Take the published VMs of each data centre."""
+    """Set the published VMs of each data centre."""
 
     vms: Mapping[DataCentreName, tuple[RouterName, ...]]
 
 
 @frozen
 class StepDownAll:
-    """Give up every scheduler's role; `done` is set once followers were told."""
+    """Give up all scheduler roles; `done` is set once the followers are notified."""
 
     done: anyio.Event
 
 
 @frozen
 class Tick:
-    """Move time on."""
+    """Run the periodic work that is due at the current time."""
 
 
 @frozen
 class FromPeer:
-    """Carry a message on a stream that a peer opened: a follower's or a report."""
+    """Pass on a message from a stream that a peer opened: a follower's or a report."""
 
     peer: RouterName
     message: Any
@@ -108,7 +112,7 @@
 
 @frozen
 class FromScheduler:
-    """Carry a message on a stream that this router opened."""
+    """Pass on a message from a stream that this router opened."""
 
     peer: RouterName
     message: Any
@@ -116,21 +120,21 @@
 
 @frozen
 class LinkUp:
-    """Note that a stream to a peer is open."""
+    """Report that a stream to a peer is open."""
 
     peer: RouterName
 
 
 @frozen
 class LinkLost:
-    """Note that a stream to a peer ended."""
+    """Report that a stream to a peer ended."""
 
     peer: RouterName
 
 
 @frozen
 class Attached:
-    """Note that a peer opened a stream."""
+    """Report that a peer opened a stream; `send` queues messages on it."""
 
     peer: RouterName
     handle: int
@@ -139,7 +143,7 @@
 
 @frozen
 class Detached:
-    """Note that a peer's stream ended."""
+    """Report that a stream opened by a peer ended."""
 
     peer: RouterName
     handle: int
--- a/packages/fulmarroad/src/fulmarroad/_granting.py
+++ b/packages/fulmarroad/src/fulmarroad/_granting.py
@@ -1,4 +1,4 @@
-"""Turn free units and waiting demands into leases, and end them."""
+"""Grant free units to waiting demands, and end the leases."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @frozen
 class Send:
-    """Carry a message to a router that follows the scheduler."""
+    """A message to a router that follows the scheduler."""
 
     router: RouterName
     message: RouterMessage
 
 
 class Granting:
-    """Hold the queue, the book and the leases of one scheduler together."""
+    """Keep the queue, the book and the leases of one scheduler consistent."""
 
     def __init__(
         self, shard: ShardId, epoch: Epoch, book: ServerBook, queue: SchedulingPolicy
@@ -49,18 +49,18 @@
 
     @property
     def leases(self) -> LeaseTable:
-        """Return the leases held."""
+        """Return the table of leases held."""
         return self._leases
 
     @property
     def service_times(self) -> ServiceTimeEstimator:
-        """Return what is known of how long requests take."""
+        """Return the estimator of request durations."""
         return self._service_times
 
     def next_grant(
         self, followers: dict[RouterName, Follower], now: float
     ) -> Send | None:
-        """Grant one free unit to the next demand in line, or return none."""
+        """Grant a free unit to the next eligible demand; return none without one."""
         if not len(self._queue):
             return None
         free = self._book.free(now)
@@ -72,7 +72,7 @@
         return self._grant(waiting, free, followers[waiting.router], now)
 
     def adopt(self, router: RouterName, row: RunningLease, now: float) -> None:
-        """Take over a lease that a former scheduler granted."""
+        """Take over a lease that an earlier scheduler granted."""
         self._book.adopt_lease(row, router, now)
         charge = self._queue.adopt(row.workspace, row.charged)
         deadline = now + sanitize(row.remaining_s)
@@ -81,22 +81,22 @@
         self._leases.add(lease)
 
     def reconcile(
-        self, router: RouterName, told: Sequence[RunningLease], now: float
+        self, router: RouterName, reported: Sequence[RunningLease], now: float
     ) -> None:
-        """Hold exactly the leases that a router says it holds."""
-        named = {row.lease_id for row in told}
+        """Replace the leases of a router by those that it reports."""
+        reported_ids = {row.lease_id for row in reported}
         for lease in self._leases.of_router(router):
-            if lease.lease_id not in named:
+            if lease.lease_id not in reported_ids:
                 self.forget(lease, now)
-        for row in told:
+        for row in reported:
             known = self._leases.held(row.lease_id, router)
             if known is None:
                 self.adopt(router, row, now)
             else:
-                self._leases.claim(known)
+                self._leases.mark_reported(known)
 
     def finish(self, router: RouterName, message: Finished, now: float) -> None:
-        """End a lease with its whole cost; a lease that is not held is ignored."""
+        """End a lease and charge its final cost; ignore a lease that is not held."""
         lease = self._leases.held(message.lease_id, router)
         if lease is None:
             return
@@ -106,8 +106,8 @@
         completed = message.outcome is Outcome.COMPLETED
         service = sanitize(message.service)
         if completed:
-            self._service_times.note(message.total_s)
-            self._note_prefix(lease, message.cached_prefix, now)
+            self._service_times.record(message.total_s)
+            self._record_prefix(lease, message.cached_prefix, now)
         changes = self._book.observe(
             lease.unit.server,
             message.outcome,
@@ -118,17 +118,17 @@
             lease_id=lease.lease_id,
         )
         self._end(lease, service, now, learn=completed)
-        self.note_changes(changes)
+        self.record_changes(changes)
 
-    def judge(self, lease: Lease, used: ServiceUsed, now: float) -> None:
-        """Judge a server by an answer that still runs."""
+    def observe_early(self, lease: Lease, used: ServiceUsed, now: float) -> None:
+        """Update a server's health from an answer that still runs."""
         changes = self._book.observe_early(
             lease.lease_id, used.first_s, used.gap_s, lease.charge.reported, now
         )
-        self.note_changes(changes)
+        self.record_changes(changes)
 
     def forget(self, lease: Lease, now: float) -> None:
-        """End a lease of which nothing more will be heard; what it used stays."""
+        """End a lease that its router no longer reports; keep the reported charge."""
         self._end(lease, lease.charge.reported, now, learn=False)
 
     def expire(self, now: float) -> None:
@@ -136,22 +136,22 @@
         for lease in self._leases.expired(now):
             self._end(lease, lease.charge.amount, now, learn=False)
 
-    def reclaim(self, follower: Follower, now: float) -> list[Waiting]:
-        """End leases that a router can't start any more; return their demands."""
+    def reclaim_unstarted(self, follower: Follower, now: float) -> list[Waiting]:
+        """End leases that a router can no longer start; return their demands."""
         late = self._leases.unstartable(follower)
         for lease in late:
             self._end(lease, 0.0, now, learn=False)
         return [lease.waiting for lease in late if lease.waiting is not None]
 
-    def note_changes(self, changes: Sequence[WarmthChange]) -> None:
-        """Keep changes of warmth; a server that turned cold lost its cache."""
+    def record_changes(self, changes: Sequence[WarmthChange]) -> None:
+        """Record warmth changes; drop the prefixes of servers that became cold."""
         self._changes += changes
         for change in changes:
             if change.after is Warmth.COLD:
                 self._prefixes.forget(change.server)
 
     def take_changes(self) -> list[WarmthChange]:
-        """Return the changes of warmth since the last call."""
+        """Return the warmth changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
@@ -163,7 +163,7 @@
         now: float,
     ) -> Send:
         demand = waiting.demand
-        unit = self._choose(waiting, free)
+        unit = self._choose_unit(waiting, free)
         lease = Lease(
             self._leases.new_id(),
             demand.demand_id,
@@ -188,13 +188,13 @@
         )
         return Send(waiting.router, grant)
 
-    def _choose(self, waiting: Waiting, free: Sequence[FreeUnit]) -> Unit:
-        usual = self._queue.mean_cost or None
-        unit = choose_unit(waiting.demand, free, self._prefixes, mean_cost=usual)
-        assert unit is not None, "an eligible demand fits a free unit"
+    def _choose_unit(self, waiting: Waiting, free: Sequence[FreeUnit]) -> Unit:
+        mean_cost = self._queue.mean_cost or None
+        unit = choose_unit(waiting.demand, free, self._prefixes, mean_cost=mean_cost)
+        assert unit is not None, "no free unit for a demand that was found eligible"
         return unit
 
-    def _note_prefix(self, lease: Lease, cached: int, now: float) -> None:
+    def _record_prefix(self, lease: Lease, cached: int, now: float) -> None:
         if lease.waiting is not None and lease.waiting.demand.prefix:
             prefix = lease.waiting.demand.prefix
             self._prefixes.correct(lease.unit.server, prefix, cached, now)
--- a/packages/fulmarroad/src/fulmarroad/_leases.py
+++ b/packages/fulmarroad/src/fulmarroad/_leases.py
@@ -1,4 +1,4 @@
-"""What a scheduler keeps of its followers and of the leases it granted."""
+"""The state of a scheduler's followers and the leases that it holds."""
 
 from __future__ import annotations
 
@@ -15,24 +15,28 @@
 from fulmarroad.types import Epoch, RouterName, Unit
 
 FRESH_S = 0.8 * START_WINDOW_S
-"""A router not heard from for this long gets no grant: it might no longer start it."""
+"""Age of a router's last clock reading at which it gets no more grants.
+
+A grant carries that reading, and the router might no longer start it in time.
+"""
 
 ORPHAN_GRACE_S = 1.0
-"""An orphaned lease is held this long beyond its deadline, for clocks that drift."""
+"""Time that an orphaned lease is held beyond its deadline, as clocks drift."""
 
 
 def grant_valid(
     grant: Grant, following: Epoch | None, clock: float, hello_clock: float = -math.inf
 ) -> bool:
-    """Tell whether a router may start a grant, by its own clock.
+    """Return whether a router may start a grant, by the router's own clock.
 
-    A scheduler that paused wakes late and still believes in its role. Its grants
-    would put requests onto units that its successor granted to others; they carry
-    a former epoch, or a clock reading from before the pause, and are refused.
+    A scheduler that resumes after a pause may have been replaced without knowing it.
+    Its grants could put requests onto units that its successor granted to others. Such
+    grants carry an earlier epoch or a clock reading from before the pause and are
+    refused.
 
-    `hello_clock` is the clock in the hello that the router last sent. A grant from
-    before it reached the scheduler carries an older reading: the hello, which could not
-    mention it, has ended its lease there.
+    `hello_clock` is the clock in the hello that the router last sent. A grant with an
+    older reading was sent before the scheduler received that hello. As the hello did
+    not list its lease, the scheduler has ended the lease.
     """
     if grant.epoch != following or grant.echo < hello_clock:
         return False
@@ -41,30 +45,30 @@
 
 @define(eq=False)
 class Follower:
-    """Hold what is known of a router that follows this scheduler."""
+    """A router that follows this scheduler, with its latest clock reading."""
 
     router: RouterName
     incarnation: int
-    clock: float  # the router's own, as last heard
-    heard_at: float  # when it read so, or earlier, on the scheduler's clock
+    clock: float  # latest reading of the router's own clock
+    clock_read_at: float  # scheduler's clock at that reading or earlier
 
     def update_clock(self, clock: float, at: float) -> None:
-        """Note a reading of the router's own clock; it never goes back."""
+        """Record a reading of the router's own clock; ignore an older one."""
         if clock >= self.clock:
             self.clock = clock
-            self.heard_at = at
+            self.clock_read_at = at
 
     def fresh(self, now: float) -> bool:
-        """Tell whether a grant sent now could still be started in time."""
-        return now - self.heard_at < FRESH_S
+        """Return whether the router could still start a grant sent now in time."""
+        return now - self.clock_read_at < FRESH_S
 
 
 @define(eq=False)
 class Lease:
-    """Hold one granted unit until its request ends.
+    """A unit granted to a demand until its request ends.
 
-    `waiting` is none for a lease that another scheduler granted; `start_by` is on
-    the clock of the router.
+    `waiting` is none for a lease that another scheduler granted; `start_by` is a
+    reading of the router's clock.
     """
 
     lease_id: str
@@ -79,12 +83,12 @@
     orphan: bool = False
 
     def expired(self, now: float) -> bool:
-        """Tell whether an orphaned request must have ended by its deadline."""
+        """Return whether it is orphaned and past its deadline and the grace period."""
         return self.orphan and now > self.deadline + ORPHAN_GRACE_S
 
 
 class LeaseTable:
-    """Keep the leases of one scheduler by id and by demand."""
+    """The leases of one scheduler, by lease id and by demand id."""
 
     def __init__(self, epoch: Epoch) -> None:
         self._prefix = short_name(f"{epoch.router}/{epoch.incarnation}/{epoch.term}")
@@ -101,62 +105,62 @@
         return iter(self._leases.values())
 
     def new_id(self) -> str:
-        """Return an id that no other scheduler and no other epoch ever gives."""
+        """Return a lease id that is unique across schedulers and epochs."""
         return f"{self._prefix}{next(self._numbers):x}"
 
     def add(self, lease: Lease) -> None:
-        """Keep a lease."""
+        """Add a lease."""
         self._leases[lease.lease_id] = lease
         self._by_demand[lease.demand_id] = lease
         if not lease.started:
             self._unstarted[lease.lease_id] = lease
 
     def held(self, lease_id: str, router: RouterName) -> Lease | None:
-        """Return a lease if this router holds it."""
+        """Return a lease by id; return none unless this router holds it."""
         lease = self._leases.get(lease_id)
         return lease if lease is not None and lease.router == router else None
 
-    def runs(self, demand_id: str) -> bool:
-        """Tell whether a demand holds a lease."""
+    def has_demand(self, demand_id: str) -> bool:
+        """Return whether a demand has a lease."""
         return demand_id in self._by_demand
 
     def of_router(self, router: RouterName) -> list[Lease]:
         """Return the leases that a router holds."""
         return [lease for lease in self._leases.values() if lease.router == router]
 
-    def start(self, lease: Lease) -> None:
-        """Note that the request of a lease was sent."""
+    def mark_started(self, lease: Lease) -> None:
+        """Mark a lease whose request was sent to its backend server."""
         lease.started = True
         self._unstarted.pop(lease.lease_id, None)
 
-    def orphan(self, lease: Lease) -> None:
-        """Note that the router of a lease is out of reach."""
+    def mark_orphan(self, lease: Lease) -> None:
+        """Mark a lease whose router is disconnected."""
         lease.orphan = True
         self._orphans[lease.lease_id] = lease
 
-    def claim(self, lease: Lease) -> None:
-        """Note that the router of a lease told of it again."""
+    def mark_reported(self, lease: Lease) -> None:
+        """Mark a lease that its router reported as running in a new hello."""
         lease.orphan = False
         self._orphans.pop(lease.lease_id, None)
-        self.start(lease)
+        self.mark_started(lease)
 
     def remove(self, lease: Lease) -> None:
-        """Forget a lease that ended."""
+        """Remove a lease that ended."""
         for table in (self._leases, self._unstarted, self._orphans):
             table.pop(lease.lease_id, None)
         if self._by_demand.get(lease.demand_id) is lease:
             del self._by_demand[lease.demand_id]
 
     def expired(self, now: float) -> list[Lease]:
-        """Return the orphaned leases whose requests must have ended."""
+        """Return the orphaned leases whose deadlines have passed."""
         return [lease for lease in self._orphans.values() if lease.expired(now)]
 
     def unstartable(self, follower: Follower) -> list[Lease]:
         """Return unstarted leases that a router can no longer start.
 
-        Its clock, heard on the stream on which a confirmation would have come
-        before, is past their start-by time: an earlier reclaim could put two
-        requests onto one unit.
+        The router's clock is past their start-by time. The reading comes on the same
+        stream as confirmations of started leases, so a confirmation would have arrived
+        before it. Reclaiming a lease earlier could put two requests onto one unit.
         """
         return [
             lease
--- a/packages/fulmarroad/src/fulmarroad/_policies.py
+++ b/packages/fulmarroad/src/fulmarroad/_policies.py
@@ -1,4 +1,4 @@
-"""What a queueing policy is, and the two baselines that the fleet's is measured by."""
+"""The scheduling policy protocol, and two baselines to compare `FleetQueue` with."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class SchedulingPolicy(Protocol):
-    """Decide which waiting demand is granted next, and count service."""
+    """Select the waiting demand that is granted next, and account for service."""
 
     @property
     def reports_totals(self) -> bool:
-        """Tell whether totals and moves between shards apply to this policy."""
+        """Return whether totals and moves between shards apply to this policy."""
 
     @property
     def mean_cost(self) -> float:
-        """Return the mean cost of a request, 0 while it is not known."""
+        """Return the mean cost of a request in service units, 0 while unknown."""
 
     def __len__(self) -> int: ...
 
@@ -41,38 +41,41 @@
         """Return a waiting demand by its id."""
 
     def add(self, demand: Demand, router: RouterName, now: float) -> bool:
-        """Queue a demand; return false if it waits already."""
+        """Queue a demand; return false if it is queued already."""
 
     def restore(self, waiting: Waiting, now: float) -> bool:
-        """Queue a demand that waited before, at its old place."""
+        """Queue a demand again at its previous place; return false if it is queued."""
 
     def remove(self, demand_id: str) -> Waiting | None:
-        """Take a demand out of the queue."""
+        """Remove and return a waiting demand; return none if it is not queued."""
 
     def pop(self, eligible: Eligible, now: float) -> Waiting | None:
-        """Take the next demand that is eligible, or none."""
+        """Remove and return the next eligible demand; return none without one."""
 
     def begin(self, waiting: Waiting) -> Charge:
-        """Charge the estimate for a demand that is granted."""
+        """Charge the estimated cost of a demand that is granted."""
 
     def adopt(self, workspace: WorkspaceName, charged: float) -> Charge:
-        """Take over a lease that another scheduler granted."""
+        """Take over the charge of a lease that another scheduler granted."""
 
     def progress(self, charge: Charge, service: float) -> None:
-        """Note service used by a running lease."""
+        """Record service used by a running lease."""
 
     def finish(self, charge: Charge, service: float, *, learn: bool = True) -> None:
-        """Replace what was charged by the whole cost of an ended lease."""
+        """Replace the charge of an ended lease by its final cost.
+
+        `learn` tells whether the cost also counts for the estimates of later demands.
+        """
 
     def ahead(self) -> int:
-        """Return how many demands are served before that of a new workspace."""
+        """Return how many demands would be served before one of a new workspace."""
 
     def forget_idle(self, now: float) -> None:
-        """Drop what is no longer needed of idle workspaces."""
+        """Drop the state of idle workspaces that is no longer needed."""
 
 
-class _Uncounted:
-    """Count no service across workspaces; share what baselines have in common."""
+class _NoAccounting:
+    """Implement the accounting methods for a policy that ignores service."""
 
     @property
     def reports_totals(self) -> bool:
@@ -81,15 +84,15 @@
 
     @property
     def mean_cost(self) -> float:
-        """Return 0, for costs are not looked at."""
+        """Return 0, as costs are ignored."""
         return 0.0
 
     def begin(self, waiting: Waiting) -> Charge:
-        """Return a charge that is compared with nothing."""
+        """Return a dummy charge."""
         return Charge(waiting.demand.workspace, 1.0, 0, 0.0)
 
     def adopt(self, workspace: WorkspaceName, charged: float) -> Charge:
-        """Return a charge that is compared with nothing."""
+        """Return a dummy charge."""
         return Charge(workspace, 1.0, 0, 0.0)
 
     def progress(self, charge: Charge, service: float) -> None:
@@ -102,56 +105,57 @@
         """Do nothing."""
 
 
-class FifoQueue(_Uncounted, WaitingById):
-    """Serve demands in the order of arrival, whoever sent them.
+class FifoQueue(_NoAccounting, WaitingById):
+    """Serve demands in the order of arrival, whatever their workspace.
 
-    This is the baseline without fairness: a flood fills the line before everybody.
+    This is the baseline without fairness: demands wait behind every earlier demand of
+    a workspace that floods the queue.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._line: list[Waiting] = []
+        self._queue: list[Waiting] = []
 
     def ahead(self) -> int:
-        """Return the length of the line."""
-        return len(self._line)
+        """Return the length of the queue."""
+        return len(self._queue)
 
     def restore(self, waiting: Waiting, now: float) -> bool:
-        """Queue a demand that waited before, at its old place."""
+        """Queue a demand again by its arrival; return false if it is queued already."""
         demand_id = waiting.demand.demand_id
         if demand_id in self._waiting:
             return False
-        insort(self._line, waiting, key=attrgetter("arrival"))
+        insort(self._queue, waiting, key=attrgetter("arrival"))
         self._waiting[demand_id] = waiting
         return True
 
     def remove(self, demand_id: str) -> Waiting | None:
-        """Take a demand out of the line."""
+        """Remove and return a waiting demand; return none if it is not queued."""
         waiting = self._waiting.pop(demand_id, None)
         if waiting is not None:
-            self._line.remove(waiting)
+            self._queue.remove(waiting)
         return waiting
 
     def pop(self, eligible: Eligible, now: float) -> Waiting | None:
-        """Take the oldest eligible demand, or none."""
-        found = next((row for row in self._line if eligible(row)), None)
-        return found and self.remove(found.demand.demand_id)
+        """Remove and return the oldest eligible demand; return none without one."""
+        oldest = next((row for row in self._queue if eligible(row)), None)
+        return oldest and self.remove(oldest.demand.demand_id)
 
 
 class LocalQueue:
-    """Serve each router's own fair queue in turn, so that routers share evenly.
+    """Keep a fair queue for each router and serve the routers in turn.
 
-    This is the baseline in which every router is fair by itself: a workspace that
-    comes in through many routers is served many times as often.
+    This is the baseline in which each router is fair on its own: a workspace whose
+    requests arrive through several routers gets a share at each of them.
     """
 
     def __init__(self) -> None:
         self._queues: dict[RouterName, FleetQueue] = {}
-        self._owner: dict[str, RouterName] = {}
+        self._router_by_demand: dict[str, RouterName] = {}
         self._adopted = FleetQueue()
-        self._charged: dict[int, FleetQueue] = {}
-        self._turn = itertools.count()
-        self._served: dict[RouterName, int] = {}
+        self._queue_by_charge: dict[int, FleetQueue] = {}
+        self._serve_counter = itertools.count()
+        self._last_served: dict[RouterName, int] = {}
 
     @property
     def reports_totals(self) -> bool:
@@ -160,98 +164,100 @@
 
     @property
     def mean_cost(self) -> float:
-        """Return the mean cost of a request at any router."""
+        """Return the average of the routers' mean costs, 0 while none is known."""
         known = [q.mean_cost for q in self._queues.values() if q.mean_cost]
         return sum(known) / len(known) if known else 0.0
 
     def __len__(self) -> int:
-        return len(self._owner)
+        return len(self._router_by_demand)
 
     def __contains__(self, demand_id: object) -> bool:
-        return demand_id in self._owner
+        return demand_id in self._router_by_demand
 
     def __iter__(self) -> Iterator[Waiting]:
         return itertools.chain.from_iterable(self._queues.values())
 
     def get(self, demand_id: str) -> Waiting | None:
         """Return a waiting demand by its id."""
-        router = self._owner.get(demand_id)
+        router = self._router_by_demand.get(demand_id)
         return None if router is None else self._queues[router].get(demand_id)
 
     def add(self, demand: Demand, router: RouterName, now: float) -> bool:
-        """Queue a demand at its router; return false if it waits already."""
-        if demand.demand_id in self._owner:
+        """Queue a demand at its router; return false if it is queued already."""
+        if demand.demand_id in self._router_by_demand:
             return False
-        self._owner[demand.demand_id] = router
+        self._router_by_demand[demand.demand_id] = router
         return self._queues.setdefault(router, FleetQueue()).add(demand, router, now)
 
     def ahead(self) -> int:
-        """Return how many workspaces wait, counted at each router."""
+        """Return the number of backlogged workspaces, summed over all routers."""
         return sum(queue.ahead() for queue in self._queues.values())
 
     def restore(self, waiting: Waiting, now: float) -> bool:
-        """Queue a demand that waited before, at its old place."""
+        """Queue a demand again at its router; return false if it is queued already."""
         demand_id = waiting.demand.demand_id
-        if demand_id in self._owner:
+        if demand_id in self._router_by_demand:
             return False
-        self._owner[demand_id] = waiting.router
+        self._router_by_demand[demand_id] = waiting.router
         queue = self._queues.setdefault(waiting.router, FleetQueue())
         return queue.restore(waiting, now)
 
     def remove(self, demand_id: str) -> Waiting | None:
-        """Take a demand out of its router's queue."""
-        router = self._owner.pop(demand_id, None)
+        """Remove and return a waiting demand; return none if it is not queued."""
+        router = self._router_by_demand.pop(demand_id, None)
         return None if router is None else self._queues[router].remove(demand_id)
 
     def pop(self, eligible: Eligible, now: float) -> Waiting | None:
-        """Take the next demand of the router that was served longest ago."""
-        for router in sorted(self._queues, key=lambda name: self._served.get(name, -1)):
+        """Remove and return the next demand of the least recently served router."""
+        for router in sorted(
+            self._queues, key=lambda name: self._last_served.get(name, -1)
+        ):
             waiting = self._queues[router].pop(eligible, now)
             if waiting is not None:
-                self._served[router] = next(self._turn)
-                del self._owner[waiting.demand.demand_id]
+                self._last_served[router] = next(self._serve_counter)
+                del self._router_by_demand[waiting.demand.demand_id]
                 return waiting
         return None
 
     def begin(self, waiting: Waiting) -> Charge:
-        """Charge the estimate at the demand's own router."""
+        """Charge the estimated cost in the queue of the demand's router."""
         queue = self._queues[waiting.router]
         charge = queue.begin(waiting)
-        self._charged[id(charge)] = queue
+        self._queue_by_charge[id(charge)] = queue
         return charge
 
     def adopt(self, workspace: WorkspaceName, charged: float) -> Charge:
-        """Take over a lease; no router's queue is charged for it."""
+        """Take over a lease's charge without charging any router's queue."""
         return self._adopted.adopt(workspace, charged)
 
     def progress(self, charge: Charge, service: float) -> None:
-        """Note service at the router that was charged."""
-        self._charged.get(id(charge), self._adopted).progress(charge, service)
+        """Record service in the queue that was charged."""
+        self._queue_by_charge.get(id(charge), self._adopted).progress(charge, service)
 
     def finish(self, charge: Charge, service: float, *, learn: bool = True) -> None:
-        """Correct the charge at the router that was charged."""
-        queue = self._charged.pop(id(charge), self._adopted)
+        """Replace the charge by the final cost in the queue that was charged."""
+        queue = self._queue_by_charge.pop(id(charge), self._adopted)
         queue.finish(charge, service, learn=learn)
 
     def forget_idle(self, now: float) -> None:
-        """Drop what is no longer needed of idle workspaces."""
+        """Drop the state of idle workspaces that is no longer needed."""
         for queue in self._queues.values():
             queue.forget_idle(now)
 
 
 def make_queue(policy: str) -> SchedulingPolicy:
-    """Return a new queue: `fleet`, or one of the baselines `fifo` and `local`.
+    """Return a new queue for the policy `fleet`, `fifo` or `local`.
 
     Raise `ConfigurationError` for any other name.
     """
-    makers: dict[str, type] = {
+    factories: dict[str, type] = {
         "fleet": FleetQueue,
         "fifo": FifoQueue,
         "local": LocalQueue,
     }
-    if policy not in makers:
+    if policy not in factories:
         raise ConfigurationError(
             f"There is no scheduling policy {policy!r}.",
-            hint=f"Use one of {', '.join(makers)}.",
+            hint=f"Use one of {', '.join(factories)}.",
         )
-    return makers[policy]()
+    return factories[policy]()
--- a/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
+++ b/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
@@ -1,4 +1,4 @@
-"""One scheduler's part among the schedulers of its pool: reports and moves."""
+"""Exchange reports with the other schedulers of a pool, and plan moves from them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class PoolReporter:
-    """Tell the pool's other schedulers how this shard stands, and act on theirs."""
+    """Report this shard's state to the pool's other schedulers and use their reports.
+
+    A byte budget limits the size and the rate of the reports.
+    """
 
     def __init__(
         self,
@@ -42,31 +45,32 @@
         self._rebalancer = Rebalancer(shard)
         self._peers: int | None = None
         self._draining = False
-        self._greets = False
-        self._told_at = now - IDLE_INTERVAL_S
-        self._credit = BURST_BYTES
-        self._credited_at = now
+        self._has_new_peer = False
+        self._reported_at = now - IDLE_INTERVAL_S
+        self._budget_bytes = BURST_BYTES
+        self._budget_updated_at = now
         self._sequence = 0
 
     def set_peers(self, peers: int) -> None:
-        """Take how many other schedulers each report goes to."""
+        """Set the number of schedulers that each report is sent to."""
         self._peers = peers
 
     def set_draining(self, draining: bool) -> None:
-        """Take whether the shard has no backend server that takes work."""
+        """Set whether no backend server of the shard accepts new work."""
         self._draining = draining
 
     def receive_report(self, report: ServiceReport, now: float) -> None:
-        """Count a report; only the newest of an epoch tells how its shard stands.
+        """Add a report's totals; if it is the newest of its epoch, use it for moves.
 
-        A scheduler that is heard for the first time has no memory: it is told soon.
+        A scheduler that reports for the first time may have no totals from this one,
+        so a report is sent to it soon.
         """
-        self._greets = self._greets or not self._totals.knows(report.epoch)
+        self._has_new_peer = self._has_new_peer or not self._totals.knows(report.epoch)
         if self._totals.receive_report(report, now):
             self._rebalancer.note(report, self._service_times.mean_s, now)
 
     def moves(self, now: float) -> list[Handover]:
-        """Return the waiting demands that other shards are to have."""
+        """Return the waiting demands to move, each with its target shard."""
         if not len(self._queue):
             return []
         if self._draining:
@@ -79,14 +83,14 @@
         )
 
     def report(self, now: float) -> ServiceReport | None:
-        """Return the report to spread now, or none while none is due."""
-        self._earn(now)
-        if not self._due(now):
+        """Return the report to send now, or none if none is due."""
+        self._refill_budget(now)
+        if not self._is_due(now):
             return None
-        self._told_at = now
-        self._greets = False
-        entries = self._totals.entries(now, self._affordable(now))
-        self._credit -= self._reached(now) * report_size(len(entries))
+        self._reported_at = now
+        self._has_new_peer = False
+        entries = self._totals.entries(now, self._affordable_entries(now))
+        self._budget_bytes -= self._recipient_count(now) * report_size(len(entries))
         self._sequence += 1
         return ServiceReport(
             self._shard,
@@ -99,40 +103,42 @@
         )
 
     def forget(self, now: float) -> None:
-        """Drop what was heard of schedulers that are long silent."""
+        """Drop the totals of schedulers that have sent nothing for a long time."""
         self._totals.forget(now)
 
-    def _earn(self, now: float) -> None:
-        earned = (now - self._credited_at) * CONTROL_BYTES_S
-        self._credit = min(BURST_BYTES, self._credit + earned)
-        self._credited_at = now
+    def _refill_budget(self, now: float) -> None:
+        refill = (now - self._budget_updated_at) * CONTROL_BYTES_S
+        self._budget_bytes = min(BURST_BYTES, self._budget_bytes + refill)
+        self._budget_updated_at = now
 
-    def _affordable(self, now: float) -> int:
-        """Return how many entries the budget allows; a report without any is always.
+    def _affordable_entries(self, now: float) -> int:
+        """Return how many entries the budget allows in the next report, possibly 0.
 
-        With many schedulers in a pool a whole report costs more than is saved up, and
-        workspaces are told of in turn.
+        With many schedulers in a pool a full report exceeds the budget, so the entries
+        of the workspaces are spread over several reports.
         """
-        bytes_each = self._credit / max(1, self._reached(now)) - REPORT_BYTES
-        return max(0, min(MAX_ENTRIES, int(bytes_each / ENTRY_BYTES)))
+        bytes_per_recipient = (
+            self._budget_bytes / max(1, self._recipient_count(now)) - REPORT_BYTES
+        )
+        return max(0, min(MAX_ENTRIES, int(bytes_per_recipient / ENTRY_BYTES)))
 
-    def _reached(self, now: float) -> int:
-        """Return how many schedulers a report goes to."""
+    def _recipient_count(self, now: float) -> int:
+        """Return the number of schedulers that a report is sent to."""
         return (
             self._totals.active_peer_count(now) if self._peers is None else self._peers
         )
 
-    def _due(self, now: float) -> bool:
-        elapsed = now - self._told_at
+    def _is_due(self, now: float) -> bool:
+        elapsed = now - self._reported_at
         if elapsed >= IDLE_INTERVAL_S:
             return True
-        if elapsed < MIN_INTERVAL_S or not self._reached(now):
+        if elapsed < MIN_INTERVAL_S or not self._recipient_count(now):
             return False
         pending_entries = self._totals.pending_entries(now)
-        if self._credit < min(
-            BURST_BYTES, self._reached(now) * report_size(pending_entries)
+        if self._budget_bytes < min(
+            BURST_BYTES, self._recipient_count(now) * report_size(pending_entries)
         ):
             return False
-        if pending_entries or self._greets:
+        if pending_entries or self._has_new_peer:
             return True
         return self._rebalancer.wanted_elsewhere(now) and bool(self._book.free(now))
--- a/packages/fulmarroad/src/fulmarroad/_running.py
+++ b/packages/fulmarroad/src/fulmarroad/_running.py
@@ -1,8 +1,8 @@
-"""The leases that run at this router, and what of their service was reported.
+"""The running leases of a router, and reports of the service that they used.
 
-Load it answers: many long answers at once. A report for each token would outweigh the
-work itself, so service is added up here and told in one report a shard, less often the
-more leases run.
+With many long answers at once, a report for each token would cost more than the answers
+themselves. Service is therefore added up here and sent in one report for each shard,
+less often the more leases run.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 @define
 class RunningLeases:
-    """Hold the running leases of one router."""
+    """The running leases of one router, by lease id."""
 
     _running: dict[str, Running] = field(factory=dict)
-    _progress_at: float = 0.0
+    _next_report_at: float = 0.0
 
     def __len__(self) -> int:
-        """Return how many leases run."""
+        """Return the number of running leases."""
         return len(self._running)
 
     @property
     def shards(self) -> set[ShardId]:
-        """Return the shards that granted them."""
-        return {row.lease.shard for row in self._running.values()}
+        """Return the shards that granted the leases."""
+        return {running.lease.shard for running in self._running.values()}
 
     def add(self, lease: Lease) -> None:
-        """Hold a lease that was granted."""
+        """Add a lease that was granted."""
         self._running[lease.lease_id] = Running(lease)
 
     def shard_of(self, lease_id: str) -> ShardId | None:
-        """Return the shard that granted a lease, if it runs."""
+        """Return the shard that granted a lease; return none if it is not running."""
         running = self._running.get(lease_id)
         return running.lease.shard if running is not None else None
 
     def use(
         self, lease_id: str, service: float, first_s: float | None, gap_s: float | None
     ) -> None:
-        """Add service that a lease used."""
+        """Add service that a lease used, and its latencies in seconds once known."""
         running = self._running.get(lease_id)
         if running is None:
             return
@@ -51,31 +51,31 @@
             running.first_s, running.gap_s = first_s, gap_s
 
     def end(self, lease_id: str) -> None:
-        """Drop a lease."""
+        """Remove a lease."""
         self._running.pop(lease_id, None)
 
     def snapshot(self, shard: ShardId, now: float) -> tuple[m.RunningLease, ...]:
-        """Return a shard's leases as a new scheduler gets them."""
+        """Return the leases of a shard for the hello to a new scheduler."""
         return tuple(
-            row.snapshot(now)
-            for row in self._running.values()
-            if row.lease.shard == shard
+            running.snapshot(now)
+            for running in self._running.values()
+            if running.lease.shard == shard
         )
 
     def report(self, now: float) -> list[m.Progress]:
-        """Return what is to be told of their progress, if it is time."""
-        if now < self._progress_at:
+        """Return the progress reports to send now; none within the report interval."""
+        if now < self._next_report_at:
             return []
-        self._progress_at = now + progress_interval(len(self._running))
+        self._next_report_at = now + progress_interval(len(self._running))
         used: dict[ShardId, list[m.ServiceUsed]] = {}
         for lease_id, running in self._running.items():
             if running.unreported <= 0:
                 continue
-            row = m.ServiceUsed(
+            usage = m.ServiceUsed(
                 lease_id, running.unreported, running.first_s, running.gap_s
             )
             running.first_s = running.gap_s = None
-            used.setdefault(running.lease.shard, []).append(row)
+            used.setdefault(running.lease.shard, []).append(usage)
             running.charged += running.unreported
             running.unreported = 0.0
         return [m.Progress(shard, tuple(rows)) for shard, rows in used.items()]
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -1,9 +1,11 @@
-"""The scheduler of one shard: demands in, grants out, all state rebuilt from routers.
-
-Failures it answers: a scheduler that is lost or replaced with no memory, one that
-wakes late, routers that vanish with running requests, messages that come twice, late
-or under a former epoch. Whatever it believes, a unit is granted only while its router
-lends it, and a grant is started only under the epoch and clock that the router knows.
+"""Grant the units of one shard to waiting demands.
+
+The scheduler stores nothing: a new one rebuilds its state from what routers report.
+The design covers schedulers that crash or are replaced without their state, schedulers
+that resume after a pause, routers that disconnect while their requests run, and
+messages that are duplicated, delayed or sent under an earlier epoch. A unit is granted
+only while the router that owns it lends it, and a router starts a grant only if its
+epoch and clock reading are valid there (`grant_valid`).
 """
 
 from __future__ import annotations
@@ -41,29 +43,31 @@
 
 __all__ = ["Scheduler", "Send", "grant_valid"]
 
-SETTLE_S = 0.5
-"""A new scheduler counts as settled once every live router said hello, or after this.
+SETTLE_TIMEOUT_S = 0.5
+"""Time after which a new scheduler is settled even if a live router sent no hello.
 
 A hello takes a few milliseconds after a stream breaks; half a second covers a slow one.
-Until then no demand is moved away, as most units are not lent yet.
+Until the scheduler is settled it moves no demand to another shard, as most units are
+not lent to it yet.
 """
 
 HEARTBEAT_S = 1.0
 """Interval of heartbeats: half the time in which a grant may be started.
 
-Heartbeats and their answers are the largest part of the control traffic, and every
-router exchanges them with each scheduler of its data centre.
+A shorter interval costs bandwidth: heartbeats and their answers are the largest part of
+the control traffic, and every router exchanges them with each scheduler of its data
+centre.
 """
 
-FORGET_INTERVAL_S = 10.0
-"""Idle accounts and silent schedulers are looked for this often."""
+CLEANUP_INTERVAL_S = 10.0
+"""Interval at which state of idle workspaces and silent schedulers is dropped."""
 
 
 class Scheduler:
     """Grant the units of one shard to waiting demands.
 
-    The queue decides who is next, the book which units may be granted; this class
-    keeps both true to what routers say, and tells them.
+    The queue selects the next demand and the book the units that may be granted. This
+    class updates both from the messages of routers and returns the messages to send.
     """
 
     def __init__(
@@ -81,14 +85,14 @@
         self._book = book
         self._queue = queue
         self._live = frozenset(live)
-        self._began = now
+        self._created_at = now
         self._settled = False
         self._stepped_down = False
         self._followers: dict[RouterName, Follower] = {}
         self._granting = Granting(shard, epoch, book, queue)
         self._deadlines: list[tuple[float, str]] = []
-        self._beat_at = now
-        self._forget_at = now + FORGET_INTERVAL_S
+        self._next_heartbeat_at = now
+        self._next_cleanup_at = now + CLEANUP_INTERVAL_S
         self._pool_reporter: PoolReporter | None = None
         if isinstance(queue, FleetQueue):
             service_times = self._granting.service_times
@@ -98,7 +102,7 @@
 
     @property
     def shard(self) -> ShardId:
-        """Return the shard that is scheduled."""
+        """Return the shard whose units this scheduler grants."""
         return self._shard
 
     @property
@@ -108,66 +112,66 @@
 
     @property
     def settled(self) -> bool:
-        """Tell whether every live router was heard, or the time for it is over."""
+        """Return whether all live routers sent a hello or `SETTLE_TIMEOUT_S` passed."""
         return self._settled
 
     @property
     def waiting(self) -> int:
-        """Return how many demands wait."""
+        """Return the number of waiting demands."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Return how many leases are held."""
+        """Return the number of leases held."""
         return len(self._granting.leases)
 
     def handle(
         self, router: RouterName, message: SchedulerMessage, now: float
     ) -> list[Send]:
-        """Take a follower's message; return what to send."""
+        """Handle a message from a router; return the messages to send."""
         if self._stepped_down:
             return []
         if isinstance(message, Started):
-            self._started(router, message)
+            self._handle_started(router, message)
             return []
         if isinstance(message, Progress):
-            judged = self._progress(router, message, now)
-            return self._grant(now) if judged else []
-        out = self._take(router, message, now)
-        return out + self._grant(now)
+            evaluated = self._handle_progress(router, message, now)
+            return self._grant_free_units(now) if evaluated else []
+        out = self._dispatch(router, message, now)
+        return out + self._grant_free_units(now)
 
     def receive_report(self, report: ServiceReport, now: float) -> list[Send]:
-        """Count what another scheduler of the pool served; move demands if due."""
+        """Add the service totals of another scheduler; move demands if needed."""
         if self._stepped_down or self._pool_reporter is None:
             return []
         self._pool_reporter.receive_report(report, now)
-        return self._grant(now) + self._moves(now)
+        return self._grant_free_units(now) + self._move_demands(now)
 
     def link_lost(self, router: RouterName, now: float) -> list[Send]:
-        """Drop a router whose stream broke; what it runs stays charged.
+        """Remove a router whose stream broke, but keep its leases.
 
-        It resends its waiting demands to whoever it follows next. Its running
-        requests go on without us, so their units stay taken until their deadline.
+        The router resends its waiting demands to the scheduler that it follows next.
+        Its running requests continue, so their units stay taken until their deadline.
         """
-        self._drop(router)
+        self._remove_follower(router)
         for lease in self._granting.leases.of_router(router):
-            self._granting.leases.orphan(lease)
-        return self._grant(now)
+            self._granting.leases.mark_orphan(lease)
+        return self._grant_free_units(now)
 
     def set_live(self, live: Collection[RouterName], now: float) -> list[Send]:
-        """Take the live routers of the data centre."""
+        """Set the live routers of the data centre."""
         for router in self._live.difference(live):
             self._book.mark_lost(router, now)
         self._live = frozenset(live)
-        return self._grant(now)
+        return self._grant_free_units(now)
 
     def set_vms(self, vms: Collection[RouterName], now: float) -> list[Send]:
-        """Take the published VMs of the data centre: the owners of units."""
+        """Set the published VMs of the data centre, which own the units."""
         self._book.set_vms(vms, now)
-        return self._grant(now)
+        return self._grant_free_units(now)
 
     def set_peers(self, peers: int) -> None:
-        """Take how many other schedulers of the pool each report goes to."""
+        """Set the number of schedulers of the pool that each report is sent to."""
         if self._pool_reporter is not None:
             self._pool_reporter.set_peers(peers)
 
@@ -178,86 +182,93 @@
         taking: Collection[ServerName],
         now: float,
     ) -> list[Send]:
-        """Take a change of the tables; a shard that takes no work hands demands on."""
-        self._granting.note_changes(self._book.set_servers(pool, servers, taking, now))
+        """Apply a change of the tables.
+
+        If no backend server of the shard accepts work (`taking` is empty), its waiting
+        demands are moved to other shards.
+        """
+        self._granting.record_changes(
+            self._book.set_servers(pool, servers, taking, now)
+        )
         if self._pool_reporter is not None:
             self._pool_reporter.set_draining(not taking)
-        return self._grant(now) + self._moves(now)
+        return self._grant_free_units(now) + self._move_demands(now)
 
     def tick(self, now: float) -> list[Send]:
-        """Do what time brings: refusals, expiry, moves and heartbeats."""
+        """Run periodic work: lease expiry, refusals, grants, moves and heartbeats."""
         if self._stepped_down:
             return []
         self._granting.expire(now)
-        out = self._refuse_hopeless(now)
-        out += self._grant(now)
-        out += self._moves(now)
-        if now >= self._beat_at:
-            self._beat_at = now + HEARTBEAT_S
-            beat = self._heartbeat(now)
-            out += [Send(router, beat) for router in self._followers]
-        if now >= self._forget_at:
-            self._forget_at = now + FORGET_INTERVAL_S
-            self._forget(now)
+        out = self._refuse_expiring(now)
+        out += self._grant_free_units(now)
+        out += self._move_demands(now)
+        if now >= self._next_heartbeat_at:
+            self._next_heartbeat_at = now + HEARTBEAT_S
+            heartbeat = self._heartbeat(now)
+            out += [Send(router, heartbeat) for router in self._followers]
+        if now >= self._next_cleanup_at:
+            self._next_cleanup_at = now + CLEANUP_INTERVAL_S
+            self._clean_up(now)
         return out
 
     def report(self, now: float) -> ServiceReport | None:
-        """Return the totals to spread now, or none while nothing is due."""
+        """Return the report to send to other schedulers now, or none if none is due."""
         if self._stepped_down or self._pool_reporter is None:
             return None
         return self._pool_reporter.report(now)
 
     def step_down(self, now: float) -> list[Send]:
-        """Give the role up; nothing is granted from here on."""
+        """Give up the scheduler role; after this nothing is granted."""
         self._stepped_down = True
         notice = StepDown(self._shard, self._epoch)
         return [Send(router, notice) for router in self._followers]
 
     def changes(self) -> list[WarmthChange]:
-        """Return the changes of warmth since the last call."""
+        """Return the warmth changes since the last call."""
         return self._granting.take_changes()
 
-    def _take(
+    def _dispatch(
         self, router: RouterName, message: SchedulerMessage, now: float
     ) -> list[Send]:
         if isinstance(message, Finished):
             self._granting.finish(router, message, now)
             return []
         if isinstance(message, Hello):
-            return self._hello(router, message, now)
+            return self._handle_hello(router, message, now)
         follower = self._followers.get(router)
         if follower is None:
-            return []  # its hello will tell all of it
+            return []  # the hello it sends next repeats the state
         if isinstance(message, Demand):
-            return self._demand(router, message, now)
+            return self._handle_demand(router, message, now)
         if isinstance(message, Lend):
-            self._lend(follower, message, now)
+            self._handle_lend(follower, message, now)
         elif isinstance(message, Withdraw):
-            self._withdraw(router, message)
+            self._handle_withdraw(router, message)
         elif isinstance(message, Goodbye):
             return self.link_lost(router, now)
         return []
 
-    def _hello(self, router: RouterName, hello: Hello, now: float) -> list[Send]:
-        if self._is_late(router, hello):
+    def _handle_hello(self, router: RouterName, hello: Hello, now: float) -> list[Send]:
+        if self._is_stale(router, hello):
             return []
-        self._drop(router)
+        self._remove_follower(router)
         self._followers[router] = Follower(router, hello.incarnation, hello.clock, now)
         for hint in hello.hints:
-            self._granting.note_changes(self._book.adopt_hint(hint, now))
+            self._granting.record_changes(self._book.adopt_hint(hint, now))
         self._granting.reconcile(router, hello.leases, now)
         out = [
             Send(router, Welcome(self._shard, self._epoch)),
             Send(router, self._heartbeat(now)),
         ]
         for demand in hello.demands:
-            out += self._demand(router, demand, now)
+            out += self._handle_demand(router, demand, now)
         return out
 
-    def _is_late(self, router: RouterName, hello: Hello) -> bool:
-        """Tell whether a hello is older than what the router said since.
+    def _is_stale(self, router: RouterName, hello: Hello) -> bool:
+        """Return whether the router sent newer messages than this hello.
 
-        It would end leases that were granted after it was sent.
+        A stale hello does not list leases that were granted after it was sent, and
+        handling it would end them.
         """
         known = self._followers.get(router)
         if known is None:
@@ -266,68 +277,74 @@
             return hello.incarnation < known.incarnation
         return hello.clock <= known.clock
 
-    def _demand(self, router: RouterName, demand: Demand, now: float) -> list[Send]:
-        if self._granting.leases.runs(demand.demand_id):
+    def _handle_demand(
+        self, router: RouterName, demand: Demand, now: float
+    ) -> list[Send]:
+        if self._granting.leases.has_demand(demand.demand_id):
             return []
         if sanitize(demand.remaining_s) <= self._granting.service_times.min_s:
             return [self._refusal(router, demand.demand_id, now)]
         if self._queue.add(demand, router, now):
-            self._watch(now + sanitize(demand.remaining_s), demand.demand_id)
+            self._track_deadline(now + sanitize(demand.remaining_s), demand.demand_id)
         return []
 
-    def _lend(self, follower: Follower, lend: Lend, now: float) -> None:
-        """Renew a lending by the scheduler's own clock, as the router echoed it.
+    def _handle_lend(self, follower: Follower, lend: Lend, now: float) -> None:
+        """Renew the lending of a router's units.
 
-        The term runs from when the echoed heartbeat was sent, not from when the
-        answer was read: a scheduler that wakes from a pause must not take an answer
-        that lay in its buffer for a fresh one.
+        The term starts at the echoed clock reading, at which the scheduler sent the
+        heartbeat, and not when the answer is read: after a pause, an old answer in the
+        receive buffer must not count as a new one.
         """
         if lend.epoch != self._epoch or not lend.echo <= now:
             return
         follower.update_clock(lend.clock, lend.echo)
         if lend.echo + LENDING_TERM_S > now:
             self._book.lend(follower.router, lend.echo + LENDING_TERM_S, now)
-        for waiting in self._granting.reclaim(follower, now):
+        for waiting in self._granting.reclaim_unstarted(follower, now):
             self._queue.restore(waiting, now)
-            self._watch(waiting.deadline, waiting.demand.demand_id)
+            self._track_deadline(waiting.deadline, waiting.demand.demand_id)
 
-    def _started(self, router: RouterName, message: Started) -> None:
+    def _handle_started(self, router: RouterName, message: Started) -> None:
         lease = self._granting.leases.held(message.lease_id, router)
         if lease is not None:
-            self._granting.leases.start(lease)
+            self._granting.leases.mark_started(lease)
 
-    def _progress(self, router: RouterName, message: Progress, now: float) -> bool:
-        """Charge what leases used; tell whether a server was judged by it."""
-        judged = False
+    def _handle_progress(
+        self, router: RouterName, message: Progress, now: float
+    ) -> bool:
+        """Charge the service used; return whether a server's health was updated."""
+        evaluated = False
         for used in message.leases:
             lease = self._granting.leases.held(used.lease_id, router)
             if lease is None:
                 continue
             self._queue.progress(lease.charge, used.service)
             if used.first_s is not None:
-                self._granting.judge(lease, used, now)
-                judged = True
-        return judged
+                self._granting.observe_early(lease, used, now)
+                evaluated = True
+        return evaluated
 
-    def _withdraw(self, router: RouterName, message: Withdraw) -> None:
+    def _handle_withdraw(self, router: RouterName, message: Withdraw) -> None:
         waiting = self._queue.get(message.demand_id)
         if waiting is not None and waiting.router == router:
             self._queue.remove(message.demand_id)
 
-    def _drop(self, router: RouterName) -> None:
+    def _remove_follower(self, router: RouterName) -> None:
         if self._followers.pop(router, None) is None:
             return
         self._book.recall(router)
-        gone = [row.demand.demand_id for row in self._queue if row.router == router]
-        for demand_id in gone:
+        demand_ids = [
+            row.demand.demand_id for row in self._queue if row.router == router
+        ]
+        for demand_id in demand_ids:
             self._queue.remove(demand_id)
 
-    def _grant(self, now: float) -> list[Send]:
-        """Grant free units until none is left or nobody who waits can use one.
+    def _grant_free_units(self, now: float) -> list[Send]:
+        """Grant free units until none is left or no waiting demand can use one.
 
-        A new scheduler doesn't know what routers run that it has not heard. They lend
-        nothing to it, and the book fits all leases that are known into what is lent,
-        so that their even share stays free for them.
+        A new scheduler does not know the leases of routers that have not sent a hello.
+        Those routers lend it nothing, and the book counts all known leases against the
+        lent units, so the even share of the other routers stays free.
         """
         self._settle(now)
         out: list[Send] = []
@@ -340,10 +357,10 @@
 
     def _settle(self, now: float) -> None:
         if not self._settled:
-            all_heard = bool(self._live) and self._live <= self._followers.keys()
-            self._settled = all_heard or now - self._began >= SETTLE_S
+            all_connected = bool(self._live) and self._live <= self._followers.keys()
+            self._settled = all_connected or now - self._created_at >= SETTLE_TIMEOUT_S
 
-    def _moves(self, now: float) -> list[Send]:
+    def _move_demands(self, now: float) -> list[Send]:
         if self._pool_reporter is None or not self._settled:
             return []
         out = []
@@ -354,14 +371,14 @@
                 out.append(Send(waiting.router, message))
         return out
 
-    def _watch(self, deadline: float, demand_id: str) -> None:
+    def _track_deadline(self, deadline: float, demand_id: str) -> None:
         heapq.heappush(self._deadlines, (deadline, demand_id))
 
-    def _refuse_hopeless(self, now: float) -> list[Send]:
-        """Turn demands away as soon as their deadline can't be met any more.
+    def _refuse_expiring(self, now: float) -> list[Send]:
+        """Refuse demands as soon as their deadline can no longer be met.
 
-        Held until the deadline they would take a unit for an answer that nobody
-        waits for, or cost their caller the time to ask elsewhere.
+        If they were kept until the deadline, they could take a unit for an answer that
+        comes too late, and the caller would have no time left to try elsewhere.
         """
         out = []
         horizon = now + self._granting.service_times.min_s
@@ -398,7 +415,7 @@
         units = self._book.capacity(now)
         return self._granting.service_times.wait_s(self._queue.ahead(), units)
 
-    def _forget(self, now: float) -> None:
+    def _clean_up(self, now: float) -> None:
         self._queue.forget_idle(now)
         if self._pool_reporter is not None:
             self._pool_reporter.forget(now)
--- a/packages/fulmarroad/src/fulmarroad/_service_times.py
+++ b/packages/fulmarroad/src/fulmarroad/_service_times.py
@@ -1,54 +1,57 @@
-"""Estimate how long requests take, to tell waits and what can't be met."""
+"""Estimate request durations, to predict waits and deadlines that can't be met."""
 
 from __future__ import annotations
 
 from collections import deque
 
 MEAN_STEP = 0.05
-"""Weight of the newest time in the mean: about the last twenty requests count."""
+"""Weight of the newest duration in the running mean: about the last 20 count."""
 
-SAMPLES = 64
-"""Answers remembered for the least plausible time that a request takes."""
+MAX_SAMPLES = 64
+"""Number of recent durations from which the minimum duration is estimated."""
 
-ENOUGH = 16
-"""Answers needed before a demand is refused for too little time left."""
+MIN_SAMPLES = 16
+"""Durations needed before the minimum duration is estimated.
 
-LEAST_FACTOR = 0.5
-"""A request may be this much faster than the fastest one seen of late."""
+Until then no demand is refused for too little remaining time.
+"""
+
+MIN_DURATION_FACTOR = 0.5
+"""Estimated minimum duration as a fraction of the shortest recent duration."""
 
 
 class ServiceTimeEstimator:
-    """Learn from answers how long requests of a shard take."""
+    """Estimate from completed requests how long requests of a shard take."""
 
     def __init__(self) -> None:
-        self._totals: deque[float] = deque(maxlen=SAMPLES)
+        self._durations: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._mean = 0.0
-        self._least = 0.0
+        self._min = 0.0
 
     @property
     def mean_s(self) -> float:
-        """Return the mean time that a request takes, 0 while unknown."""
+        """Return the mean duration of a request in seconds, 0 while unknown."""
         return self._mean
 
     @property
     def min_s(self) -> float:
-        """Return the least plausible time of a request, 0 while unknown."""
-        return self._least
+        """Return the estimated minimum duration in seconds, 0 while unknown."""
+        return self._min
 
-    def note(self, total_s: float) -> None:
-        """Note how long a completed request took."""
+    def record(self, total_s: float) -> None:
+        """Record the duration of a completed request."""
         if not total_s > 0:
             return
-        self._totals.append(total_s)
-        step = MEAN_STEP if self._mean else 1.0
-        self._mean += step * (total_s - self._mean)
-        if len(self._totals) >= ENOUGH:
-            self._least = min(self._totals) * LEAST_FACTOR
+        self._durations.append(total_s)
+        weight = MEAN_STEP if self._mean else 1.0
+        self._mean += weight * (total_s - self._mean)
+        if len(self._durations) >= MIN_SAMPLES:
+            self._min = min(self._durations) * MIN_DURATION_FACTOR
 
     def wait_s(self, ahead: int, units: int) -> float:
-        """Return the estimated wait of a demand behind others.
+        """Return the estimated wait in seconds of a demand with others ahead of it.
 
-        Counted from service times: the rate of grants of late says nothing of what
-        a shard could do if it was idle before a burst.
+        The estimate uses service times rather than the recent rate of grants, as that
+        rate is far below the shard's capacity if the shard was idle before a burst.
         """
         return ahead * self._mean / max(1, units)
--- a/packages/fulmarroad/src/fulmarroad/_waiting.py
+++ b/packages/fulmarroad/src/fulmarroad/_waiting.py
@@ -1,4 +1,4 @@
-"""The demands that wait at this router, each with the shard that was asked for it."""
+"""The waiting demands of a router, each with the shard that it was sent to."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 @define
 class WaitingDemands:
-    """Hold the waiting demands of one router by their id."""
+    """The waiting demands of one router, by demand id."""
 
-    _rows: dict[str, Waiting] = field(factory=dict)
+    _by_id: dict[str, Waiting] = field(factory=dict)
 
     def __len__(self) -> int:
-        """Return how many demands wait."""
-        return len(self._rows)
+        """Return the number of waiting demands."""
+        return len(self._by_id)
 
     def __iter__(self) -> Iterator[Waiting]:
-        """Return the demands as they are now; they may be taken out meanwhile."""
-        return iter(list(self._rows.values()))
+        """Iterate over a copy, so that demands can be removed during the iteration."""
+        return iter(list(self._by_id.values()))
 
     @property
     def shards(self) -> set[ShardId | None]:
-        """Return the shards that were asked."""
-        return {row.shard for row in self._rows.values()}
+        """Return the shards that demands were sent to."""
+        return {row.shard for row in self._by_id.values()}
 
     def add(self, waiting: Waiting) -> None:
-        """Hold a demand."""
-        self._rows[waiting.ask.demand_id] = waiting
+        """Add a demand."""
+        self._by_id[waiting.ask.demand_id] = waiting
 
     def pop(self, demand_id: str) -> Waiting | None:
-        """Take a demand out, if it waits."""
-        return self._rows.pop(demand_id, None)
+        """Remove and return a demand; return none if it does not wait."""
+        return self._by_id.pop(demand_id, None)
 
     def at(self, shard: ShardId, demand_id: str) -> Waiting | None:
-        """Return a demand, if it waits and that shard was asked for it."""
-        waiting = self._rows.get(demand_id)
+        """Return a demand; return none unless it waits and was sent to the shard."""
+        waiting = self._by_id.get(demand_id)
         return waiting if waiting is not None and waiting.shard == shard else None
 
     def snapshot(self, shard: ShardId, now: float) -> tuple[m.Demand, ...]:
-        """Return the demands of a shard as its scheduler gets them now."""
+        """Return the demand messages to send to the scheduler of a shard now."""
         return tuple(row.demand(now) for row in self if row.shard == shard)
 
     def overdue(self, now: float) -> list[Waiting]:
