--- a/packages/fulmarroad/src/fulmarroad/_leases.py
+++ b/packages/fulmarroad/src/fulmarroad/_leases.py
@@ -128,7 +128,7 @@
         """Return the leases that a router holds."""
         return [lease for lease in self._leases.values() if lease.router == router]
 
-    def mark_started(self, lease: Lease) -> None:
+    def start(self, lease: Lease) -> None:
         """Mark a lease whose request was sent to its backend server."""
         lease.started = True
         self._unstarted.pop(lease.lease_id, None)
@@ -142,7 +142,7 @@
         """Mark a lease that its router reported as running in a new hello."""
         lease.orphan = False
         self._orphans.pop(lease.lease_id, None)
-        self.mark_started(lease)
+        self.start(lease)
 
     def remove(self, lease: Lease) -> None:
         """Remove a lease that ended."""
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -307,7 +307,7 @@
     def _handle_started(self, router: RouterName, message: Started) -> None:
         lease = self._granting.leases.held(message.lease_id, router)
         if lease is not None:
-            self._granting.leases.mark_started(lease)
+            self._granting.leases.start(lease)
 
     def _handle_progress(
         self, router: RouterName, message: Progress, now: float
--- a/packages/fulmarroad/tests/scheduling/conftest.py
+++ b/packages/fulmarroad/tests/scheduling/conftest.py
@@ -1,8 +1,8 @@
-"""A pool of shards in virtual time: real schedulers, queues and books, small routers.
+"""A simulated pool of shards in virtual time, with real schedulers, queues and books.
 
-Routers and backend servers are modelled by their rules alone; every decision that a
-test looks at is taken by the library's own code. Nothing sleeps and nothing is random
-but a seeded generator.
+Routers and backend servers are simple models; every decision that a test checks is made
+by the library's own code. Nothing sleeps, and all randomness comes from a seeded
+generator.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @define(eq=False)
 class Request:
-    """A caller's request, and what became of it."""
+    """A caller's request and its state."""
 
     name: str
     workspace: str
@@ -60,7 +60,7 @@
     state: str = "waiting"
     lease: Grant | None = None
     began: float = 0.0
-    told: float = 0.0
+    reported: float = 0.0
     ended: float = 0.0
     starts: int = 0
 
@@ -71,7 +71,10 @@
 
 @define(eq=False)
 class Router:
-    """A router's rules: lend on heartbeats, start valid grants, resend on a change."""
+    """A model of a router with its requests and the schedulers that it follows.
+
+    It lends on heartbeats, starts valid grants and resends its state to new schedulers.
+    """
 
     name: str
     skew: float
@@ -81,7 +84,10 @@
 
 
 class VirtualPool:
-    """Drive shards and routers; `cut` tells which pairs can't hear each other."""
+    """Simulate the shards and routers of a pool.
+
+    `cut(source, target)` returns whether reports between two shards are dropped.
+    """
 
     def __init__(
         self,
@@ -116,31 +122,33 @@
                 BackendServer(n, "127.0.0.1:1", centre) for n in names
             ]
         self.schedulers = {}
-        self.former = []  # schedulers that were replaced, and may still wake
-        self.links = defaultdict(int)  # (router, shard): streams opened so far
-        self.paused = {}
-        self.mail = defaultdict(deque)  # epoch: what waits for a scheduler to wake
+        self.replaced = []  # replaced schedulers, which may still resume
+        self.stream_count = defaultdict(
+            int
+        )  # by (router, shard), streams opened so far
+        self.paused_until = {}
+        self.inbox = defaultdict(deque)  # by epoch: actions queued during a pause
         self.refused = []
         self.done = []
         self.late_grants = 0
-        self.overload = 0
+        self.unit_conflicts = 0
         self.busy = defaultdict(dict)  # server: unit index -> request
         self.samples = []
         self.idle_while_waiting = 0.0
         self._events = []
-        self._order = itertools.count()
-        self._names = itertools.count()
+        self._event_numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._terms = itertools.count(1)
         for shard in self.shards:
-            self.begin(shard)
+            self.start_scheduler(shard)
         self.at(0.0, self._tick)
 
-    # building and breaking
+    # Setup and faults
 
-    def begin(self, shard):
-        """Start a scheduler with no memory; every router turns to it."""
+    def start_scheduler(self, shard):
+        """Start a scheduler without state; all routers follow it."""
         if shard in self.schedulers:
-            self.former.append(self.schedulers[shard])
+            self.replaced.append(self.schedulers[shard])
         epoch = Epoch(f"h{shard.index}", 1, next(self._terms))
         pool = Pool("chat", max_concurrency=self.units, cold_concurrency=self.units)
         book = ServerBook(pool, self.shards[shard], now=self.now, handed_over=True)
@@ -155,42 +163,47 @@
             self.follow(router, shard, epoch)
         return scheduler
 
-    def lose_link(self, router, shard):
-        """Break a router's stream; what is under way is lost, and it comes again."""
+    def break_link(self, router, shard):
+        """Break a router's stream and reopen it; messages in transit are lost."""
         scheduler = self.schedulers[shard]
-        self.links[router, shard] += 1
-        self._at_scheduler(scheduler, lambda: scheduler.link_lost(router, self.now))
-        back = self.routers[router]
+        self.stream_count[router, shard] += 1
+        self._deliver_to_scheduler(
+            scheduler, lambda: scheduler.link_lost(router, self.now)
+        )
+        follower = self.routers[router]
         self.at(
-            self.now + 0.02, lambda: self.follow(back, shard, back.following[shard])
+            self.now + 0.02,
+            lambda: self.follow(follower, shard, follower.following[shard]),
         )
 
     def pause(self, shard, seconds):
-        """Stop a scheduler; it wakes later and believes what it believed."""
+        """Pause a scheduler; it resumes later with its old state."""
         epoch = self.schedulers[shard].epoch
-        wakes = self.now + seconds
-        self.paused[epoch] = max(wakes, self.paused.get(epoch, 0.0))
+        resume_at = self.now + seconds
+        self.paused_until[epoch] = max(resume_at, self.paused_until.get(epoch, 0.0))
 
     def cancel(self, name):
-        """End every running request of a router at once, as its callers left."""
+        """End all running requests of a router at once, as if callers had left."""
         router = self.routers[name]
         for request in router.requests.values():
             if request.state == "running":
                 self._finish(router, request)
 
-    def take_out(self, shard):
+    def take_out_of_service(self, shard):
         """Take every backend server of a shard out of service."""
         scheduler = self.schedulers[shard]
         pool = Pool("chat", max_concurrency=self.units, cold_concurrency=self.units)
         servers = self.shards[shard]
-        self._send(scheduler, scheduler.set_tables(pool, servers, (), self.now))
+        self._send_to_routers(
+            scheduler, scheduler.set_tables(pool, servers, (), self.now)
+        )
 
     def running_at(self, shard):
-        """Return how many requests run at a shard's backend servers."""
+        """Return the number of requests that run on a shard's backend servers."""
         return sum(len(self.busy[server.name]) for server in self.shards[shard])
 
     def finish(self, until):
-        """Run until every request is done or refused."""
+        """Run until every request has ended or was refused, or until a time."""
         self.run(self.now + 1.0)
         while self.now < until and self.open:
             self.run(self.now + 1.0)
@@ -209,10 +222,20 @@
         if self.schedulers[shard].epoch != epoch:
             return
         router.following[shard] = epoch
-        self.links[router.name, shard] += 1
-        mine = [r for r in router.requests.values() if r.shard == shard]
-        waiting = [self._demand(r) for r in mine if r.state == "waiting"]
-        running = [self._running(r) for r in mine if r.state == "running"]
+        self.stream_count[router.name, shard] += 1
+        own_requests = [
+            request for request in router.requests.values() if request.shard == shard
+        ]
+        waiting = [
+            self._demand_message(request)
+            for request in own_requests
+            if request.state == "waiting"
+        ]
+        running = [
+            self._running_lease(request)
+            for request in own_requests
+            if request.state == "running"
+        ]
         hints = [
             ServerHint(server.name, self.units, Warmth.WARM, 0.0)
             for server in self.shards[shard]
@@ -221,31 +244,31 @@
         hello = Hello(
             shard, router.name, 1, "dc1", clock, waiting, running, tuple(hints)
         )
-        self._to_scheduler(router, shard, hello)
+        self._send_to_scheduler(router, shard, hello)
 
-    def submit(self, workspace, cost, *, shard=None, router=None, at=None, **more):
-        """Let a request arrive; return its record."""
-        number = next(self._names)
+    def submit(self, workspace, cost, *, shard=None, router=None, at=None, **options):
+        """Schedule the arrival of a request and return the request."""
+        number = next(self._request_numbers)
         names = list(self.routers)
         shards = list(self.shards)
         request = Request(
             f"q{number}",
             workspace,
             cost,
-            more.pop("hint", cost),
-            more.pop("weight", 1.0),
+            options.pop("hint", cost),
+            options.pop("weight", 1.0),
             self.now if at is None else at,
-            more.pop("deadline", 1e6),
+            options.pop("deadline", 1e6),
             router or names[number % len(names)],
             shards[number % len(shards)] if shard is None else shards[shard],
-            more.pop("avoid", ()),
+            options.pop("avoid", ()),
         )
-        assert not more
+        assert not options
         self.at(request.arrival, lambda: self._arrive(request))
         return request
 
     def at(self, when, action):
-        heapq.heappush(self._events, (when, next(self._order), action))
+        heapq.heappush(self._events, (when, next(self._event_numbers), action))
 
     def run(self, until):
         while self._events and self._events[0][0] <= until:
@@ -253,14 +276,14 @@
             action()
         self.now = until
 
-    # what callers got
+    # Results
 
-    def waits(self, workspace):
-        rows = [r for r in self.done if r.workspace == workspace]
+    def wait_times(self, workspace):
+        rows = [request for request in self.done if request.workspace == workspace]
         return sorted(row.waited for row in rows)
 
     def gap(self, one, other, start=0.0, end=1e9):
-        """Return the largest service gap over any interval in which both waited."""
+        """Return the largest service gap in any interval in which both were waiting."""
         worst = 0.0
         low = high = None
         for when, served, waiting in self.samples:
@@ -281,7 +304,7 @@
         )
         return row[1].get(workspace, 0.0) if row else 0.0
 
-    # the routers' rules
+    # Router model
 
     def _arrive(self, request):
         self.routers[request.router].requests[request.name] = request
@@ -289,46 +312,46 @@
 
     def _ask(self, request):
         router = self.routers[request.router]
-        self._to_scheduler(router, request.shard, self._demand(request))
+        self._send_to_scheduler(router, request.shard, self._demand_message(request))
 
-    def _demand(self, r):
+    def _demand_message(self, request):
         return Demand(
-            r.shard,
-            r.name,
-            r.workspace,
-            r.weight,
-            r.hint,
-            self.now - r.arrival,
-            r.deadline - self.now,
-            avoid=r.avoid,
-            moves=r.moves,
+            request.shard,
+            request.name,
+            request.workspace,
+            request.weight,
+            request.hint,
+            self.now - request.arrival,
+            request.deadline - self.now,
+            avoid=request.avoid,
+            moves=request.moves,
         )
 
-    def _running(self, r):
-        used = (self.now - r.began) * self.speed[r.lease.unit.server]
+    def _running_lease(self, request):
+        used = (self.now - request.began) * self.speed[request.lease.unit.server]
         return RunningLease(
-            r.lease.lease_id,
-            r.name,
-            r.workspace,
-            r.lease.unit,
-            self.now - r.began,
-            r.deadline - self.now,
-            min(used, r.cost),
+            request.lease.lease_id,
+            request.name,
+            request.workspace,
+            request.lease.unit,
+            self.now - request.began,
+            request.deadline - self.now,
+            min(used, request.cost),
         )
 
     def _receive(self, router, scheduler, message):
         if router.following.get(message.shard) != scheduler.epoch:
             if isinstance(message, Grant):
-                self._granted(router, message)
+                self._handle_grant(router, message)
             return
         if isinstance(message, Heartbeat):
             clock = self.now + router.skew
             lend = Lend(message.shard, message.epoch, message.clock, clock)
-            self._to_scheduler(router, message.shard, lend)
+            self._send_to_scheduler(router, message.shard, lend)
         elif isinstance(message, Grant):
-            self._granted(router, message)
+            self._handle_grant(router, message)
         elif isinstance(message, Move):
-            self._moved(router, message)
+            self._handle_move(router, message)
         elif isinstance(message, Refuse):
             request = router.requests[message.demand_id]
             request.state = "refused"
@@ -336,7 +359,7 @@
         else:
             assert isinstance(message, Welcome | StepDown)
 
-    def _granted(self, router, grant):
+    def _handle_grant(self, router, grant):
         request = router.requests.get(grant.demand_id)
         epoch = router.following.get(grant.shard)
         hello_clock = router.hello_clock[grant.shard]
@@ -344,11 +367,13 @@
         if not valid or request is None or request.state != "waiting":
             self.late_grants += not valid
             done = Finished(grant.shard, grant.lease_id, Outcome.DECLINED, 0.0)
-            self._to_scheduler(router, grant.shard, done)
+            self._send_to_scheduler(router, grant.shard, done)
             if request is not None and request.state == "waiting":
                 self._ask(request)
             return
-        self._to_scheduler(router, grant.shard, Started(grant.shard, grant.lease_id))
+        self._send_to_scheduler(
+            router, grant.shard, Started(grant.shard, grant.lease_id)
+        )
         self._start(router, request, grant)
 
     def _start(self, router, request, grant):
@@ -359,7 +384,7 @@
         request.starts += 1
         units = self.busy[grant.unit.server]
         if grant.unit.index in units:
-            self.overload += 1
+            self.unit_conflicts += 1
         units[grant.unit.index] = request
         ends = self.now + request.cost / self.speed[grant.unit.server]
         self.at(ends, lambda: self._finish(router, request))
@@ -369,10 +394,10 @@
         if request.state != "running":
             return
         used = (self.now - request.began) * self.speed[request.lease.unit.server]
-        row = ServiceUsed(request.lease.lease_id, used - request.told)
+        row = ServiceUsed(request.lease.lease_id, used - request.reported)
         message = Progress(request.shard, (row,))
-        request.told = used
-        self._to_scheduler(router, request.shard, message)
+        request.reported = used
+        self._send_to_scheduler(router, request.shard, message)
         self.at(self.now + PROGRESS_S, lambda: self._progress(router, request))
 
     def _finish(self, router, request):
@@ -394,9 +419,9 @@
             0.02 * slow,
             self.now - request.began,
         )
-        self._to_scheduler(router, request.shard, message)
+        self._send_to_scheduler(router, request.shard, message)
 
-    def _moved(self, router, move):
+    def _handle_move(self, router, move):
         request = router.requests[move.demand_id]
         if request.state != "waiting":
             return
@@ -404,52 +429,52 @@
         request.moves += 1
         self._ask(request)
 
-    # the wires
+    # Network
 
-    def _to_scheduler(self, router, shard, message):
+    def _send_to_scheduler(self, router, shard, message):
         scheduler = self.schedulers[shard]
-        link = self.links[router.name, shard]
+        link = self.stream_count[router.name, shard]
 
         def arrive():
-            if link == self.links[router.name, shard]:
-                self._at_scheduler(
+            if link == self.stream_count[router.name, shard]:
+                self._deliver_to_scheduler(
                     scheduler,
                     lambda: scheduler.handle(router.name, message, self.now),
                 )
 
         self.at(self.now + DELAY_S, arrive)
 
-    def _at_scheduler(self, scheduler, action):
-        """Let a scheduler take what arrives in order, once it is awake."""
-        self.mail[scheduler.epoch].append(action)
-        self._drain(scheduler)
+    def _deliver_to_scheduler(self, scheduler, action):
+        """Run an action at a scheduler, in order and after any pause."""
+        self.inbox[scheduler.epoch].append(action)
+        self._process_inbox(scheduler)
 
-    def _drain(self, scheduler):
-        wakes = self.paused.get(scheduler.epoch, 0.0)
-        if wakes > self.now:
-            self.at(wakes, lambda: self._drain(scheduler))
+    def _process_inbox(self, scheduler):
+        resume_at = self.paused_until.get(scheduler.epoch, 0.0)
+        if resume_at > self.now:
+            self.at(resume_at, lambda: self._process_inbox(scheduler))
             return
-        mail = self.mail[scheduler.epoch]
-        while mail:
-            self._send(scheduler, mail.popleft()())
+        inbox = self.inbox[scheduler.epoch]
+        while inbox:
+            self._send_to_routers(scheduler, inbox.popleft()())
 
-    def _send(self, scheduler, sends):
+    def _send_to_routers(self, scheduler, sends):
         for send in sends:
             self.at(self.now + DELAY_S, self._delivery(scheduler, send))
 
     def _delivery(self, scheduler, send):
         router = self.routers[send.router]
         shard = scheduler.shard
-        link = self.links[router.name, shard]
+        link = self.stream_count[router.name, shard]
 
         def deliver():
             replaced = router.following.get(shard) != scheduler.epoch
-            if replaced or link == self.links[router.name, shard]:
+            if replaced or link == self.stream_count[router.name, shard]:
                 self._receive(router, scheduler, send.message)
 
         return deliver
 
-    def _spread(self, scheduler):
+    def _send_report(self, scheduler):
         report = scheduler.report(self.now)
         if report is None:
             return
@@ -463,16 +488,16 @@
                 delay = DELAY_S + self.random.random() * self.jitter
                 self.at(
                     self.now + delay,
-                    lambda o=other: self._at_scheduler(
+                    lambda o=other: self._deliver_to_scheduler(
                         o, lambda: o.receive_report(report, self.now)
                     ),
                 )
 
     def _tick(self):
-        for scheduler in (*self.schedulers.values(), *self.former):
-            if self.paused.get(scheduler.epoch, 0.0) <= self.now:
-                self._send(scheduler, scheduler.tick(self.now))
-                self._spread(scheduler)
+        for scheduler in (*self.schedulers.values(), *self.replaced):
+            if self.paused_until.get(scheduler.epoch, 0.0) <= self.now:
+                self._send_to_routers(scheduler, scheduler.tick(self.now))
+                self._send_report(scheduler)
         self._sample()
         self.at(self.now + TICK_S, self._tick)
 
@@ -500,5 +525,5 @@
 
 @pytest.fixture
 def virtual_pool():
-    """Return the class, as each test builds its own pool."""
+    """Return the class, as each test creates its own pool."""
     return VirtualPool
--- a/packages/fulmarroad/tests/test_policies.py
+++ b/packages/fulmarroad/tests/test_policies.py
@@ -1,4 +1,4 @@
-"""The baselines do what the fleet's policy is measured against."""
+"""Tests of the policies, above all of the baselines that `fleet` is compared with."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     queue.add(Demand(SHARD, name, workspace, 1.0, 10.0, 0.0, 60.0), router, now)
 
 
-def take(queue, count):
+def serve_next(queue, count):
     """Serve the next demands; return their workspaces."""
     served = []
     for _ in range(count):
@@ -28,7 +28,7 @@
 
 
 class TestMakeQueue:
-    def test_an_unknown_policy_is_named(self):
+    def test_the_error_names_an_unknown_policy(self):
         with pytest.raises(ConfigurationError, match="lottery"):
             make_queue("lottery")
 
@@ -47,29 +47,29 @@
         assert queue.get("d2") is not None
         assert len(queue) == 3
 
-    def test_only_the_fleet_policy_spreads(self):
-        spreading = [
+    def test_only_the_fleet_policy_reports_totals(self):
+        reporting = [
             p for p in ("fleet", "fifo", "local") if make_queue(p).reports_totals
         ]
-        assert spreading == ["fleet"]
+        assert reporting == ["fleet"]
 
 
 class TestFifoQueue:
-    def test_a_flood_goes_first_if_it_came_first(self):
+    def test_demands_are_served_in_order_of_arrival(self):
         queue = make_queue("fifo")
         for number in range(10):
             add(queue, f"f{number}", "flood")
         add(queue, "s", "small", now=1.0)
-        assert take(queue, 11) == ["flood"] * 10 + ["small"]
+        assert serve_next(queue, 11) == ["flood"] * 10 + ["small"]
 
 
 class TestLocalQueue:
-    def test_a_workspace_behind_every_router_is_served_by_each(self):
-        """A large workspace comes in through all routers, a small one through one.
-        Each router is fair by itself, and the large one gets most."""
+    def test_a_workspace_gets_a_share_at_each_of_its_routers(self):
+        """A large workspace sends through all routers and a small one through one. Each
+        router is fair on its own, so the large one gets most of the service."""
         queue = make_queue("local")
         for number in range(60):
             add(queue, f"l{number}", "large", ROUTERS[number % 3])
             add(queue, f"s{number}", "small", "r1")
-        served = take(queue, 60)
+        served = serve_next(queue, 60)
         assert served.count("small") == pytest.approx(10, abs=1)
--- a/packages/fulmarroad/tests/test_running.py
+++ b/packages/fulmarroad/tests/test_running.py
@@ -1,4 +1,4 @@
-"""Running leases and the reports of what they used."""
+"""Tests of the running leases and of the reports of the service that they used."""
 
 import pytest
 from attrs import evolve
@@ -22,7 +22,7 @@
 
 
 class TestReports:
-    def test_service_is_told_once_and_by_shard(self, leases):
+    def test_service_is_reported_once_and_by_shard(self, leases):
         leases.use("l-1", 5.0, None, None)
         leases.use("l-1", 7.0, 0.2, 0.05)
         leases.use("l-3", 1.0, None, None)
@@ -33,23 +33,23 @@
         assert [u.lease_id for u in rows[THERE]] == ["l-3"]
         assert leases.report(100.0) == []
 
-    def test_reports_keep_their_distance(self, leases):
+    def test_reports_are_sent_at_the_report_interval(self, leases):
         leases.use("l-1", 5.0, None, None)
         assert leases.report(10.0)
         leases.use("l-1", 5.0, None, None)
         assert leases.report(10.01) == []
         assert leases.report(100.0)
 
-    def test_service_after_the_end_is_nobodys(self, leases):
+    def test_service_after_the_end_of_a_lease_is_ignored(self, leases):
         leases.end("l-1")
         leases.use("l-1", 5.0, None, None)
         assert leases.report(10.0) == []
         assert leases.shard_of("l-1") is None
         assert len(leases) == 2
 
-    def test_a_new_scheduler_is_told_all_service_so_far(self, leases):
-        """A scheduler is lost with what it knew. What its successor is not told would
-        be service that a workspace had for nothing.
+    def test_a_snapshot_contains_all_service_so_far(self, leases):
+        """A new scheduler has no state of its predecessor. Service that is missing from
+        the snapshot it gets would never be charged to the workspace.
         """
         leases.use("l-1", 5.0, None, None)
         leases.report(10.0)
--- a/packages/fulmarroad/tests/test_spreading.py
+++ b/packages/fulmarroad/tests/test_spreading.py
@@ -1,4 +1,4 @@
-"""Reports between schedulers keep within their budget, whatever the pool's size."""
+"""Tests that reports between schedulers stay within their byte budget."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 SHARD = ShardId("chat", "dc1", 0)
 
 
-def spreading(workspaces, peers):
+def new_reporter(workspaces, peers):
     queue = FleetQueue()
     for number in range(workspaces):
         name = f"workspace-{number:06d}"
@@ -37,18 +37,18 @@
 
 class TestBudget:
     @pytest.mark.parametrize(("workspaces", "peers"), [(16, 2), (120, 15), (2000, 15)])
-    def test_bytes_a_second_stay_within_it(self, workspaces, peers):
-        """A pool grows to 16 schedulers and its workspaces are all backlogged. Whole
-        reports at a fixed interval would take the whole network budget of a VM."""
-        sent = reports(spreading(workspaces, peers), 60.0)
+    def test_bytes_sent_stay_within_the_budget(self, workspaces, peers):
+        """In a pool of 16 schedulers with all workspaces backlogged, full reports at a
+        fixed interval would use the whole network budget of a VM."""
+        sent = reports(new_reporter(workspaces, peers), 60.0)
         size = peers * sum(len(encode(row)) for row in sent)
         assert size <= CONTROL_BYTES_S * 60.0 + BURST_BYTES
 
-    def test_every_workspace_has_its_turn(self):
-        sent = reports(spreading(40, 15), 60.0)
-        told = {entry.workspace for row in sent for entry in row.entries}
-        assert len(told) == 40
+    def test_every_workspace_is_reported_in_turn(self):
+        sent = reports(new_reporter(40, 15), 60.0)
+        reported = {entry.workspace for row in sent for entry in row.entries}
+        assert len(reported) == 40
 
-    def test_free_units_are_told_even_if_nothing_can_be_paid_for(self):
-        sent = reports(spreading(2000, 200), 20.0)
+    def test_free_units_are_reported_even_without_budget_for_entries(self):
+        sent = reports(new_reporter(2000, 200), 20.0)
         assert len(sent) >= 9
