--- a/packages/fulmarroad/src/fulmarroad/_commands.py
+++ b/packages/fulmarroad/src/fulmarroad/_commands.py
@@ -1,4 +1,4 @@
-"""The typed commands by which tasks talk to the coordinator."""
+"""Define the commands that tasks send to the coordinator."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
 class NoteProgress:
     """Add service used by a lease.
 
-    One such command of a lease also carries the time to the first byte of its answer
-    and the mean time between chunks, in seconds.
+    One command for each lease also carries `first_s`, the time to the first byte of its
+    answer, and `gap_s`, the mean time between chunks, in seconds.
     """
 
     lease_id: str
@@ -134,7 +134,7 @@
 
 @frozen
 class Attached:
-    """Report that a peer opened a stream; `send` queues messages on it."""
+    """Report that a peer opened a stream; `send` sends a message on it."""
 
     peer: RouterName
     handle: int
--- a/packages/fulmarroad/src/fulmarroad/_granting.py
+++ b/packages/fulmarroad/src/fulmarroad/_granting.py
@@ -26,7 +26,7 @@
 
 @frozen
 class Send:
-    """A message to a router that follows the scheduler."""
+    """Carry a message to a router that follows the scheduler."""
 
     router: RouterName
     message: RouterMessage
--- a/packages/fulmarroad/src/fulmarroad/_leases.py
+++ b/packages/fulmarroad/src/fulmarroad/_leases.py
@@ -1,4 +1,4 @@
-"""The state of a scheduler's followers and the leases that it holds."""
+"""Track the followers of a scheduler and the leases that it holds."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @define(eq=False)
 class Follower:
-    """A router that follows this scheduler, with its latest clock reading."""
+    """Hold the latest clock reading of a router that follows this scheduler."""
 
     router: RouterName
     incarnation: int
@@ -65,7 +65,7 @@
 
 @define(eq=False)
 class Lease:
-    """A unit granted to a demand until its request ends.
+    """Hold a unit for a demand from the grant until the request ends.
 
     `waiting` is none for a lease that another scheduler granted; `start_by` is a
     reading of the router's clock.
@@ -88,7 +88,7 @@
 
 
 class LeaseTable:
-    """The leases of one scheduler, by lease id and by demand id."""
+    """Store the leases of one scheduler by lease id and by demand id."""
 
     def __init__(self, epoch: Epoch) -> None:
         self._prefix = short_name(f"{epoch.router}/{epoch.incarnation}/{epoch.term}")
--- a/packages/fulmarroad/src/fulmarroad/_policies.py
+++ b/packages/fulmarroad/src/fulmarroad/_policies.py
@@ -1,4 +1,4 @@
-"""The scheduling policy protocol, and two baselines to compare `FleetQueue` with."""
+"""Define the scheduling policy protocol and two baselines for `FleetQueue`."""
 
 from __future__ import annotations
 
--- a/packages/fulmarroad/src/fulmarroad/_running.py
+++ b/packages/fulmarroad/src/fulmarroad/_running.py
@@ -1,4 +1,4 @@
-"""The running leases of a router, and reports of the service that they used.
+"""Track the running leases of a router and report the service that they used.
 
 With many long answers at once, a report for each token would cost more than the answers
 themselves. Service is therefore added up here and sent in one report for each shard,
@@ -16,7 +16,7 @@
 
 @define
 class RunningLeases:
-    """The running leases of one router, by lease id."""
+    """Store the running leases of one router by lease id."""
 
     _running: dict[str, Running] = field(factory=dict)
     _next_report_at: float = 0.0
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -52,7 +52,7 @@
 """
 
 HEARTBEAT_S = 1.0
-"""Interval of heartbeats: half the time in which a grant may be started.
+"""Interval of heartbeats: half of the lending term, so one late answer does no harm.
 
 A shorter interval costs bandwidth: heartbeats and their answers are the largest part of
 the control traffic, and every router exchanges them with each scheduler of its data
--- a/packages/fulmarroad/src/fulmarroad/_waiting.py
+++ b/packages/fulmarroad/src/fulmarroad/_waiting.py
@@ -1,4 +1,4 @@
-"""The waiting demands of a router, each with the shard that it was sent to."""
+"""Track the waiting demands of a router, each with the shard that it was sent to."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @define
 class WaitingDemands:
-    """The waiting demands of one router, by demand id."""
+    """Store the waiting demands of one router by demand id."""
 
     _by_id: dict[str, Waiting] = field(factory=dict)
 
--- a/packages/fulmarroad/src/fulmarroad/scheduling.py
+++ b/packages/fulmarroad/src/fulmarroad/scheduling.py
@@ -1,4 +1,4 @@
-"""Fair scheduling of one shard, service totals of a pool, and the baselines."""
+"""Schedule the units of a shard: fair queue, baselines, service totals and moves."""
 
 from fulmarroad._fairqueue import Charge, FleetQueue, Waiting
 from fulmarroad._policies import (
--- a/packages/fulmarroad/tests/scheduling/conftest.py
+++ b/packages/fulmarroad/tests/scheduling/conftest.py
@@ -433,10 +433,10 @@
 
     def _send_to_scheduler(self, router, shard, message):
         scheduler = self.schedulers[shard]
-        link = self.stream_count[router.name, shard]
+        stream_number = self.stream_count[router.name, shard]
 
         def arrive():
-            if link == self.stream_count[router.name, shard]:
+            if stream_number == self.stream_count[router.name, shard]:
                 self._deliver_to_scheduler(
                     scheduler,
                     lambda: scheduler.handle(router.name, message, self.now),
@@ -465,11 +465,11 @@
     def _delivery(self, scheduler, send):
         router = self.routers[send.router]
         shard = scheduler.shard
-        link = self.stream_count[router.name, shard]
+        stream_number = self.stream_count[router.name, shard]
 
         def deliver():
             replaced = router.following.get(shard) != scheduler.epoch
-            if replaced or link == self.stream_count[router.name, shard]:
+            if replaced or stream_number == self.stream_count[router.name, shard]:
                 self._receive(router, scheduler, send.message)
 
         return deliver
--- a/packages/fulmarroad/tests/test_scheduler.py
+++ b/packages/fulmarroad/tests/test_scheduler.py
@@ -69,8 +69,8 @@
     return scheduler.handle(router, message, at if now is None else now)
 
 
-def messages_of(sends, message_type):
-    return [send.message for send in sends if isinstance(send.message, message_type)]
+def messages_of(sends, kind):
+    return [send.message for send in sends if isinstance(send.message, kind)]
 
 
 def ask(scheduler, name, workspace="a", router="r1", now=0.1, **options):
@@ -176,8 +176,8 @@
             scheduler.handle("r2", hello("r2", 10.4, units=8), 10.4)
             lend(scheduler, "r1", late, now=10.5)
             lend(scheduler, "r2", 10.5)
-            grants = [ask(scheduler, f"d{n}", router="r2", now=10.5) for n in range(9)]
-            granted.append(sum(len(row) for row in grants))
+            asked = [ask(scheduler, f"d{n}", router="r2", now=10.5) for n in range(9)]
+            granted.append(sum(len(row) for row in asked))
         assert 0 < granted[0] < granted[1] == 8
 
     def test_an_answer_to_a_former_epoch_lends_nothing(self):
