--- a/examples/fair_queue.py
+++ b/examples/fair_queue.py
@@ -1,4 +1,4 @@
-"""Serve two workspaces by their weights, whatever they ask for."""
+"""Serve two workspaces in proportion to their weights, whatever their demand."""
 
 from fulmarroad.messages import Demand
 from fulmarroad.scheduling import make_queue
--- a/packages/fulmarroad/src/fulmarroad/__init__.py
+++ b/packages/fulmarroad/src/fulmarroad/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination parts for a fleet of routers that shares capacity fairly."""
+"""Components that coordinate a fleet of routers to share capacity fairly."""
 
 import importlib
 from typing import TYPE_CHECKING, Any
@@ -19,7 +19,7 @@
     from fulmarroad.types import ShardId as ShardId
     from fulmarroad.types import Unit as Unit
 
-_LATER = {
+_LAZY_IMPORTS = {
     "AuditRecord": "audit",
     "AuditTrail": "audit",
     "Pool": "tables",
@@ -30,12 +30,12 @@
     "ShardId": "types",
     "Unit": "types",
 }
-"""Module of each name that is imported when first used: programs that use one module
-don't pay for the start of all."""
+"""Module of each name that is imported on first use, so that a program that uses one
+module does not import all of them at startup."""
 
 
 def __getattr__(name: str) -> Any:
-    module = _LATER.get(name)
+    module = _LAZY_IMPORTS.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(importlib.import_module(f"{__name__}.{module}"), name)
--- a/packages/fulmarroad/src/fulmarroad/_acceptance.py
+++ b/packages/fulmarroad/src/fulmarroad/_acceptance.py
@@ -1,10 +1,9 @@
-"""Acceptance of table versions: the newest good one, and never back.
+"""Validation of offered table versions and storage of the version in force.
 
-Answers a configuration service that is down, stale or wrong, peers that offer what
-they have, and operators who publish a bad table. Without it a router that reads a
-stale copy would bring a data centre back that operators took out; one would notice by
-work that arrives there after the change was in force. The version in force therefore
-only rises, whatever offers come in whatever order.
+The configuration service may be down, stale or wrong, peers may hold older versions,
+and operators may publish an invalid table. A router that accepted a stale copy would
+send work again to a data centre that operators have taken out of service. The version
+in force therefore only increases, regardless of the source and order of the offers.
 """
 
 from __future__ import annotations
@@ -23,13 +22,15 @@
 from fulmarroad._tables_check import ReadPart, join_tables
 from fulmarroad.exceptions import ConfigurationError
 
-GIVEN_BYTES = 1_000_000
-"""Bytes of parts in one answer to a peer, unless one part alone is larger; well below
-the largest message, and short enough not to hold up other messages of the link."""
+MAX_REPLY_BYTES = 1_000_000
+"""Maximum bytes of parts in one reply to a peer; a single larger part is still sent.
+
+Well below the maximum message size, and small enough not to delay other messages on
+the same link."""
 
 
 class Verdict(enum.StrEnum):
-    """Say what became of an offer."""
+    """Name the possible results of an offer."""
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
@@ -41,10 +42,10 @@
 
 @frozen
 class Acceptance:
-    """Say what became of an offer of tables, and why.
+    """Hold the result of an offer of tables and its reasons.
 
-    `before` is the version in force when the offer came, 0 for none; `changes` are the
-    rows that differ from it.
+    `before` is the version in force when the offer arrived, 0 for none; `changes` are
+    the rows that differ from that version.
     """
 
     verdict: Verdict
@@ -57,13 +58,13 @@
 
     @property
     def accepted(self) -> bool:
-        """Tell whether the offer is in force now."""
+        """Return whether the offered version is now in force."""
         return self.verdict is Verdict.ACCEPTED
 
 
 @frozen
-class _InForce:
-    """Hold everything of one version, so that one assignment puts it in force."""
+class _VersionInForce:
+    """Hold all data of one version, so that a single assignment activates it."""
 
     manifest: Manifest
     tables: Tables
@@ -73,121 +74,130 @@
 
 
 class TableStore:
-    """Hold the tables in force and judge what is offered instead.
+    """Hold the tables in force and validate offered replacements.
 
     Parts and their parsed rows are kept by SHA-256 while the version in force uses
-    them, so a change of one part costs the transfer and the parsing of that part.
-    An offer may run in a worker thread, one at a time, while others read: 16,000
-    workspaces take most of a second to parse, in which no answer would stream. Lookups
-    and differences are worked out there too.
+    them, so a change to one part costs only the transfer and parsing of that part.
+    `offer` may run in a worker thread, one call at a time, while other threads read.
+    Parsing 16,000 workspaces takes most of a second, which would stall all streaming
+    answers on the event loop. The route index and the differences are also computed
+    in `offer`.
     """
 
     def __init__(self) -> None:
-        self._held: _InForce | None = None
-        self._bad: tuple[int, str, tuple[str, ...]] | None = None
+        self._current: _VersionInForce | None = None
+        self._last_invalid: tuple[int, str, tuple[str, ...]] | None = None
 
     @property
     def in_force(self) -> Tables | None:
-        """Return the tables in force, none before the first good ones."""
-        return self._held.tables if self._held else None
+        """Return the tables in force, or none before the first valid version."""
+        return self._current.tables if self._current else None
 
     @property
     def index(self) -> RouteIndex | None:
-        """Return the lookups of the tables in force."""
-        return self._held.index if self._held else None
+        """Return the route index of the tables in force."""
+        return self._current.index if self._current else None
 
     @property
     def manifest(self) -> Manifest | None:
         """Return the manifest in force."""
-        return self._held.manifest if self._held else None
+        return self._current.manifest if self._current else None
 
     @property
     def version(self) -> int:
         """Return the version in force, 0 for none."""
-        return self._held.manifest.version if self._held else 0
+        return self._current.manifest.version if self._current else 0
 
     @property
     def known(self) -> tuple[str, ...]:
-        """Return the SHA-256 of the parts held."""
-        return tuple(sorted(self._held.parts)) if self._held else ()
+        """Return the SHA-256 of each part of the version in force."""
+        return tuple(sorted(self._current.parts)) if self._current else ()
 
     def consider(self, manifest: Manifest, source: str) -> Acceptance:
-        """Judge a manifest before its parts are fetched; name the parts that lack.
+        """Check a manifest before its parts are fetched, and list the missing parts.
 
-        `INCOMPLETE` asks for the missing parts; any other verdict is final.
+        With the verdict `INCOMPLETE`, the caller fetches the missing parts and calls
+        `offer`; any other verdict is final.
         """
-        verdict = self._judge(manifest)
+        verdict = self._check_manifest(manifest)
         missing = tuple(sorted(manifest.hashes - set(self.known)))
-        if verdict is Verdict.INVALID and self._bad is not None:
-            return self._answer(verdict, manifest, source, problems=self._bad[2])
+        if verdict is Verdict.INVALID and self._last_invalid is not None:
+            return self._result(
+                verdict, manifest, source, problems=self._last_invalid[2]
+            )
         if verdict is Verdict.INCOMPLETE:
-            return self._answer(verdict, manifest, source, missing=missing)
-        return self._answer(verdict, manifest, source)
+            return self._result(verdict, manifest, source, missing=missing)
+        return self._result(verdict, manifest, source)
 
     def offer(
         self, manifest: Manifest, parts: Mapping[str, bytes], source: str
     ) -> Acceptance:
-        """Take a higher version if all its parts are there and it is good.
+        """Put a higher version in force if all its parts are present and valid.
 
-        `parts` is by SHA-256 and may lack those that the store holds. `source` names
-        who offers: the service or a peer.
+        `parts` maps SHA-256 to content and may omit parts that the store holds.
+        `source` names the origin of the offer: the service or a peer.
         """
-        early = self.consider(manifest, source)
-        if early.verdict is not Verdict.INCOMPLETE:
-            return early
-        missing = tuple(sha for sha in early.missing if sha not in parts)
+        preliminary = self.consider(manifest, source)
+        if preliminary.verdict is not Verdict.INCOMPLETE:
+            return preliminary
+        missing = tuple(sha for sha in preliminary.missing if sha not in parts)
         if missing:
-            return self._answer(Verdict.INCOMPLETE, manifest, source, missing=missing)
+            return self._result(Verdict.INCOMPLETE, manifest, source, missing=missing)
         contents = {
-            **{sha: parts[sha] for sha in early.missing},
-            **self._kept(manifest),
+            **{sha: parts[sha] for sha in preliminary.missing},
+            **self._stored_parts(manifest),
         }
         problems = _content_problems(manifest, contents)
         if problems:
-            # Damage on the way says nothing about the version, which may come again.
-            return self._answer(
-                Verdict.INCOMPLETE, manifest, source, problems, early.missing
+            # The parts may have been corrupted in transit, so the version itself is
+            # not recorded as invalid and may be offered again.
+            return self._result(
+                Verdict.INCOMPLETE, manifest, source, problems, preliminary.missing
             )
-        return self._take(manifest, contents, source)
+        return self._apply(manifest, contents, source)
 
     def wanted(self) -> TablesWanted:
-        """Return the question to a peer for anything newer."""
+        """Return the request that asks a peer for a newer version."""
         return TablesWanted(self.version, self.known)
 
     def give(self, wanted: TablesWanted) -> TablesGiven:
-        """Answer a peer's question with the version in force, if it is newer.
+        """Return the version in force if it is newer than the peer's.
 
-        What doesn't fit one answer is given when the peer asks again with what it got.
+        Parts beyond the size limit of one reply are left out; the peer asks again and
+        lists the parts that it has received in `known`.
         """
-        held = self._held
+        held = self._current
         if held is None or held.manifest.version <= wanted.above:
             return TablesGiven(self.version)
-        lacking = sorted(held.parts.keys() - set(wanted.known))
+        missing = sorted(held.parts.keys() - set(wanted.known))
         parts: dict[str, bytes] = {}
         size = 0
-        for sha in lacking:
+        for sha in missing:
             size += len(held.parts[sha])
-            if parts and size > GIVEN_BYTES:
+            if parts and size > MAX_REPLY_BYTES:
                 break
             parts[sha] = held.parts[sha]
         return TablesGiven(held.manifest.version, held.manifest.raw, parts)
 
-    def _judge(self, manifest: Manifest) -> Verdict:
+    def _check_manifest(self, manifest: Manifest) -> Verdict:
         if manifest.version < self.version:
             return Verdict.LOWER
         if manifest.version == 0:
             return Verdict.UNCHANGED
-        if self._held is not None and manifest.version == self.version:
-            same = manifest.fingerprint == self._held.manifest.fingerprint
+        if self._current is not None and manifest.version == self.version:
+            same = manifest.fingerprint == self._current.manifest.fingerprint
             return Verdict.UNCHANGED if same else Verdict.CONFLICT
-        if self._bad and self._bad[:2] == (manifest.version, manifest.fingerprint):
+        if self._last_invalid and self._last_invalid[:2] == (
+            manifest.version,
+            manifest.fingerprint,
+        ):
             return Verdict.INVALID
         return Verdict.INCOMPLETE
 
-    def _take(
+    def _apply(
         self, manifest: Manifest, contents: dict[str, bytes], source: str
     ) -> Acceptance:
-        known = self._held.rows if self._held else {}
+        known = self._current.rows if self._current else {}
         rows = {
             (part.table, part.sha256): known.get((part.table, part.sha256))
             or read_part(part.table, contents[part.sha256])
@@ -199,22 +209,26 @@
         try:
             tables = join_tables(manifest.version, read)
         except ConfigurationError as error:
-            self._bad = (manifest.version, manifest.fingerprint, error.problems)
-            return self._answer(Verdict.INVALID, manifest, source, error.problems)
+            self._last_invalid = (
+                manifest.version,
+                manifest.fingerprint,
+                error.problems,
+            )
+            return self._result(Verdict.INVALID, manifest, source, error.problems)
         changes = diff_tables(self.in_force, tables) if self.in_force else ()
-        answer = evolve(
-            self._answer(Verdict.ACCEPTED, manifest, source), changes=changes
+        result = evolve(
+            self._result(Verdict.ACCEPTED, manifest, source), changes=changes
         )
         index = RouteIndex(tables)
-        self._held = _InForce(manifest, tables, index, contents, rows)
-        self._bad = None
-        return answer
+        self._current = _VersionInForce(manifest, tables, index, contents, rows)
+        self._last_invalid = None
+        return result
 
-    def _kept(self, manifest: Manifest) -> dict[str, bytes]:
-        parts = self._held.parts if self._held else {}
+    def _stored_parts(self, manifest: Manifest) -> dict[str, bytes]:
+        parts = self._current.parts if self._current else {}
         return {sha: parts[sha] for sha in manifest.hashes if sha in parts}
 
-    def _answer(
+    def _result(
         self,
         verdict: Verdict,
         manifest: Manifest,
--- a/packages/fulmarroad/src/fulmarroad/_config_polling.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_polling.py
@@ -1,10 +1,10 @@
-"""Watching one value of the configuration service, sparingly and through failures.
+"""Polling of one value of the configuration service with few calls and backoff.
 
-Answers a service that counts every call while the fleet grows, and one that is down,
-slow or ignores the wish to wait. Without the split into a few watchers and many slow
-pollers 370 routers would hold 740 watches; without jitter and backoff they would all
-come back in the same moment after a failure and keep the service down. One would notice
-by calls a second that rise with the fleet, and by peaks on the beat of the period.
+The service counts every call, and it may be down, slow or ignore the requested wait.
+A few watchers use long polls and all other routers poll slowly; otherwise 370 routers
+would hold 740 long polls, and the calls per second would grow with the fleet. Jitter
+and backoff spread the calls. Without them all routers would retry at the same time
+after a failure and keep the service down, and calls would peak once per polling period.
 """
 
 from __future__ import annotations
@@ -23,28 +23,34 @@
 logger = logging.getLogger("fulmarroad.configuration")
 
 WATCH_S = 30.0
-"""Seconds that a long poll waits: below the usual idle timeouts of a minute, and long
-enough that a quiet watch costs two calls a minute."""
+"""Seconds that a long poll waits for a change.
 
-SHORTEST_CYCLE_S = 1.0
-"""Least time between two long polls. A service that ignores the wish to wait, or gives
-no entity tag, would otherwise be asked without a pause; a change that follows another
-within the second waits for its end."""
+Below the usual idle timeouts of one minute, and long enough that a watch of an
+unchanged value costs two calls per minute."""
+
+MIN_LONG_POLL_INTERVAL_S = 1.0
+"""Minimum seconds between the starts of two long polls.
+
+A service that ignores the requested wait or returns no entity tag would otherwise be
+polled without a pause. A second change within this second is read at its end."""
 
 ROLE_CHECK_S = 5.0
-"""How soon a slow poller finds out that it has become a watcher."""
+"""Maximum seconds until a slow poller notices that it has become a watcher."""
 
 BACKOFF_BASE_S = 0.5
 BACKOFF_CAP_S = 30.0
-"""Half a second rides out a restart of the service. At the cap, with full jitter, 370
-routers with two values each make about 49 calls a second, 2.5% of what it bears."""
+"""Bounds of the retry delay in seconds.
+
+The base of half a second covers a restart of the service. At the cap, with full jitter,
+370 routers with two values each make about 49 calls per second, 2.5% of the service's
+capacity."""
 
 
 class Backoff:
-    """Give growing delays with full jitter.
+    """Compute exponential retry delays with full jitter.
 
-    Each delay is uniform from 0 to a ceiling that doubles, so that routers which failed
-    in the same moment don't come back in the same moment.
+    Each delay is uniform between 0 and a ceiling that doubles after every failure, so
+    that routers that failed at the same time do not retry at the same time.
     """
 
     def __init__(
@@ -59,37 +65,38 @@
         self._ceiling_s = base_s
 
     def next(self) -> float:
-        """Return the seconds to wait after one more failure."""
+        """Return the seconds to wait after a failure, and double the ceiling."""
         delay = self._rng.uniform(0.0, self._ceiling_s)
         self._ceiling_s = min(self._cap_s, self._ceiling_s * 2)
         return delay
 
     def reset(self) -> None:
-        """Begin anew after a success."""
+        """Reset the ceiling to the base delay after a success."""
         self._ceiling_s = self._base_s
 
 
 class Poller:
-    """Read one value over and over: as a watcher by long polls, else slowly.
+    """Poll one value: with long polls on a watcher, slowly on other routers.
 
-    `read` asks the service, `take` gets a changed body and raises
-    `ConfigurationServiceError` if it couldn't be followed up and is to be read again.
+    `read` queries the service. `apply` receives a changed body; it raises
+    `ConfigurationServiceError` if the body could not be processed and must be read
+    again. `period_s` is the mean number of seconds between slow reads.
     """
 
     def __init__(
         self,
         name: str,
         read: Callable[[str, float], Awaitable[SourceReply]],
-        take: Callable[[bytes], Awaitable[None]],
+        apply: Callable[[bytes], Awaitable[None]],
         *,
-        watches: Callable[[], bool],
+        is_watcher: Callable[[], bool],
         period_s: float,
         rng: random.Random,
     ) -> None:
         self._name = name
         self._read = read
-        self._take = take
-        self._watches = watches
+        self._apply = apply
+        self._is_watcher = is_watcher
         self._period_s = period_s
         self._rng = rng
         self._backoff = Backoff(rng)
@@ -98,53 +105,54 @@
 
     @property
     def reachable(self) -> bool:
-        """Tell whether the last read brought an answer."""
+        """Return whether the last read succeeded."""
         return self._reachable
 
     async def run(self) -> NoReturn:
-        """Read for ever."""
-        await self._attempt(0.0)
+        """Poll until cancelled."""
+        await self._read_once(0.0)
         while True:
-            if self._watches():
-                await self._watch()
+            if self._is_watcher():
+                await self._long_poll()
             else:
-                await self._pause()
-                await self._attempt(0.0)
+                await self._wait_for_next_read()
+                await self._read_once(0.0)
 
-    async def _watch(self) -> None:
-        due = anyio.current_time() + SHORTEST_CYCLE_S
-        await self._attempt(WATCH_S)
+    async def _long_poll(self) -> None:
+        due = anyio.current_time() + MIN_LONG_POLL_INTERVAL_S
+        await self._read_once(WATCH_S)
         await anyio.sleep_until(due)
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_read(self) -> None:
         """Wait for the next slow read, or until this router becomes a watcher."""
         due = anyio.current_time() + self._rng.uniform(0.5, 1.5) * self._period_s
-        while not self._watches():
+        while not self._is_watcher():
             left = due - anyio.current_time()
             if left <= 0:
                 return
             await anyio.sleep(min(left, ROLE_CHECK_S))
 
-    async def _attempt(self, wait_s: float) -> None:
-        """Read once, and wait out a failure."""
+    async def _read_once(self, wait_s: float) -> None:
+        """Read once; after a failure, wait for the backoff delay."""
         try:
             reply = await self._read(self._etag, wait_s)
             if reply.body is not None:
-                await self._take(reply.body)
+                await self._apply(reply.body)
         except ConfigurationServiceError as error:
-            self._note_failure(error)
+            self._record_failure(error)
             await anyio.sleep(self._backoff.next())
             return
-        # The tag is kept only now: a value that wasn't followed up is to come again.
+        # Store the tag only after `apply` succeeds; with the new tag, the service would
+        # not return a value again whose processing failed.
         self._etag = reply.etag
-        self._note_success()
+        self._record_success()
 
-    def _note_failure(self, error: ConfigurationServiceError) -> None:
+    def _record_failure(self, error: ConfigurationServiceError) -> None:
         if self._reachable:
             emit(logger, Event.SERVICE_UNREACHABLE, value=self._name, cause=str(error))
         self._reachable = False
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if not self._reachable:
             emit(logger, Event.SERVICE_BACK, value=self._name)
         self._reachable = True
--- a/packages/fulmarroad/src/fulmarroad/_config_source.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_source.py
@@ -12,12 +12,16 @@
 from fulmarroad.exceptions import ConfigurationServiceError
 
 CONNECT_TIMEOUT_S = 1.0
-"""The service answers in milliseconds, so that a second without a connection is a
-loss."""
+"""Timeout of connecting in seconds.
+
+The service normally answers in milliseconds, so a second without a connection counts
+as a failure."""
 
 ANSWER_TIMEOUT_S = 5.0
-"""Seconds for an answer on top of the wait that was asked for; a service that is slow
-by a thousand times still counts, one that hangs doesn't hold a watch for ever."""
+"""Timeout of an answer in seconds, added to the requested wait.
+
+Tolerates a service that is a thousand times slower than usual, and ends a long poll
+whose service hangs."""
 
 _HTTP_OK = 200
 _HTTP_NOT_MODIFIED = 304
@@ -25,30 +29,30 @@
 
 @frozen
 class SourceReply:
-    """Hold a value of the service; `body` is none if it is still that of the etag."""
+    """Hold a value and its etag; `body` is none if the value has not changed."""
 
     etag: str
     body: bytes | None
 
 
 class ConfigurationSource(Protocol):
-    """Read what operators and the platform publish.
+    """Read the values that operators and the platform publish.
 
-    Each method raises `ConfigurationServiceError` where no usable answer came.
+    Each method raises `ConfigurationServiceError` if it gets no usable answer.
     """
 
     async def manifest(self, etag: str, wait_s: float) -> SourceReply:
-        """Return the manifest, waiting up to `wait_s` for one that differs."""
+        """Return the manifest; wait up to `wait_s` seconds for a change from `etag`."""
 
     async def part(self, sha256: str) -> bytes:
-        """Return the part that has a SHA-256."""
+        """Return the content of the part with the given SHA-256."""
 
     async def vm_list(self, etag: str, wait_s: float) -> SourceReply:
-        """Return the VM list, waiting up to `wait_s` for one that differs."""
+        """Return the VM list; wait up to `wait_s` seconds for a change from `etag`."""
 
 
 class HttpConfigurationSource:
-    """Read over HTTP with entity tags and long polls (RFC 7240, `Prefer: wait`).
+    """Read over HTTP, using entity tags and long polls (RFC 7240, `Prefer: wait`).
 
     `configuration` and `vm_list` are base URLs; below them are `/manifest`,
     `/parts/SHA256` and `/vms`.
@@ -70,25 +74,29 @@
         )
 
     async def manifest(self, etag: str, wait_s: float) -> SourceReply:
-        """Return the manifest, waiting up to `wait_s` for one that differs."""
-        return await self._watch(f"{self._configuration}/manifest", etag, wait_s)
+        """Return the manifest; wait up to `wait_s` seconds for a change from `etag`."""
+        return await self._conditional_get(
+            f"{self._configuration}/manifest", etag, wait_s
+        )
 
     async def part(self, sha256: str) -> bytes:
-        """Return the part that has a SHA-256."""
+        """Return the content of the part with the given SHA-256."""
         reply = await self._get(f"{self._configuration}/parts/{sha256}", {}, 0.0)
         if reply.body is None:
-            raise ConfigurationServiceError("The configuration service gave no part.")
+            raise ConfigurationServiceError(
+                "The configuration service returned no content for a part."
+            )
         return reply.body
 
     async def vm_list(self, etag: str, wait_s: float) -> SourceReply:
-        """Return the VM list, waiting up to `wait_s` for one that differs."""
-        return await self._watch(f"{self._vm_list}/vms", etag, wait_s)
+        """Return the VM list; wait up to `wait_s` seconds for a change from `etag`."""
+        return await self._conditional_get(f"{self._vm_list}/vms", etag, wait_s)
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self._pool.aclose()
 
-    async def _watch(self, url: str, etag: str, wait_s: float) -> SourceReply:
+    async def _conditional_get(self, url: str, etag: str, wait_s: float) -> SourceReply:
         headers = {}
         if etag:
             headers["if-none-match"] = etag
@@ -115,11 +123,13 @@
                 return await _read(response)
         except (httpcore.NetworkError, httpcore.TimeoutException) as error:
             raise ConfigurationServiceError(
-                f"{url} gave no answer: {type(error).__name__} {error}",
-                hint="The last good configuration stays in force.",
+                f"No answer from {url}: {type(error).__name__} {error}",
+                hint="The last valid configuration stays in force.",
             ) from error
         except (httpcore.ProtocolError, httpcore.UnsupportedProtocol) as error:
-            raise ConfigurationServiceError(f"{url} speaks no HTTP: {error}") from error
+            raise ConfigurationServiceError(
+                f"Invalid HTTP from {url}: {error}"
+            ) from error
 
 
 async def _read(response: httpcore.Response) -> SourceReply:
@@ -131,12 +141,14 @@
         return SourceReply(etag, None)
     if response.status != _HTTP_OK:
         raise ConfigurationServiceError(
-            f"The configuration service answered {response.status}."
+            f"The configuration service answered with status {response.status}."
         )
     body = bytearray()
     async for chunk in response.aiter_stream():
         body += chunk
-        # A value above the service's own limit is some other answer.
+        # The service stores no larger values, so the body cannot be one of them.
         if len(body) > MAX_PART_BYTES:
-            raise ConfigurationServiceError("An answer is larger than 1 MB.")
+            raise ConfigurationServiceError(
+                "The configuration service sent an answer larger than 1 MB."
+            )
     return SourceReply(etag, bytes(body))
--- a/packages/fulmarroad/src/fulmarroad/_config_task.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_task.py
@@ -1,9 +1,9 @@
-"""The task that keeps this router's tables the newest that the fleet has.
+"""Task that keeps this router's tables at the newest version of the fleet.
 
-A change is read from the service by a few watchers in each data centre; the others
-hear of its version in membership packets and fetch it from a peer that has it. A router
-that starts asks its peers before it serves: the service may be stale, and a router that
-forgot what it knew must not bring an older table back.
+A few watchers in each data centre read a change from the service; the other routers
+learn its version from membership packets and fetch the tables from a peer. A starting
+router asks its peers before it serves: the service may be stale, and a router that
+restarted without its tables must not bring an older version back into force.
 """
 
 from __future__ import annotations
@@ -38,43 +38,62 @@
 
 logger = logging.getLogger("fulmarroad.configuration")
 
-WATCHERS = 2
-"""Watchers in each data centre: one may be lost without the data centre waiting for a
-slow poll, and the service counts no more watches than data centres times this."""
+WATCHERS_PER_DATA_CENTRE = 2
+"""Watchers in each data centre.
+
+With two, a data centre can lose one watcher and still need not wait for a slow poll.
+The service counts long polls of at most this many routers per data centre."""
 
 MANIFEST_PERIOD_S = 60.0
-"""Mean time between slow reads of the manifest. They matter only where a router hears
-neither of the watchers, so a minute is soon enough."""
+"""Mean seconds between slow reads of the manifest.
+
+They matter only to a router that learns no versions from either watcher, so one minute
+is frequent enough."""
 
 VM_LIST_PERIOD_S = 15.0
-"""Mean time between slow reads of the VM list. Routers whose lists differ disagree
-about the units of the VMs in question, so it is read more often than the manifest."""
+"""Mean seconds between slow reads of the VM list.
+
+Routers with different lists disagree about the units of the VMs that differ, so the
+list is read more often than the manifest."""
 
 JOIN_PEERS = 5
-"""Peers that a starting router asks. While a change spreads some lag behind; five make
-it unlikely that each of them does."""
+"""Maximum number of peers that a starting router asks at a time.
+
+While a change spreads, some peers still have the old version; with five, it is unlikely
+that all of them do."""
 
 JOIN_TIMEOUT_S = 3.0
-"""How long a starting router looks for a peer that has tables, before it believes that
-the whole fleet is new and serves what the service says."""
+"""Seconds that a starting router looks for a peer with tables.
+
+After that it assumes that the whole fleet is new, and serves with the tables of the
+service."""
 
 JOIN_RETRY_S = 0.25
+"""Seconds until a starting router asks its peers again."""
+
+MAX_REMEMBERED_REFUSALS = 64
+"""Maximum number of refusals remembered as logged.
 
-KEPT_REFUSALS = 64
-"""Refusals that were logged already; a version that is offered over and over, as by a
-stale service, would otherwise fill the log."""
+A refusal is logged once; otherwise a version that is offered repeatedly, for example by
+a stale service, would fill the log."""
 
-SHOWN_PROBLEMS = 20
-"""Problems of a bad table in one log line; `fulmarroadctl check` lists all."""
+MAX_LOGGED_PROBLEMS = 20
+"""Maximum number of problems of invalid tables in one log line.
 
-AUDITED_CHANGES = 200
-"""Rows of a change in the audit trail; it holds 4096 records in all."""
+`fulmarroadctl check` lists all."""
+
+MAX_AUDITED_CHANGES = 200
+"""Maximum number of changed rows recorded per version in the audit trail, which holds
+4096 records in total."""
 
 Offload = Callable[..., Awaitable[Any]]
 
 
 class ConfigurationWatcher:
-    """Own the table store: read the service, fetch from peers, tell the router."""
+    """Keep the table store current and notify the router of changes.
+
+    Reads the configuration service and fetches newer versions from peers.
+    """
 
     def __init__(
         self,
@@ -91,11 +110,12 @@
         seed: int,
         offload: Offload = anyio.to_thread.run_sync,
     ) -> None:
-        """Take what surrounds the task.
+        """Set the collaborators of the task.
 
-        `live` gives the live routers of the own data centre, this one too; `peers` the
-        routers that can be asked; `fetch_from_peer` raises `TransportError`; `offload`
-        runs the parsing in a thread, so that answers keep streaming meanwhile.
+        `live` returns the live routers of this router's data centre, including itself;
+        `peers` returns the routers that can be asked. `fetch_from_peer` raises
+        `TransportError` on failure. `offload` runs the parsing in a thread, so that
+        answers keep streaming meanwhile.
         """
         self._store = store
         self._source = source
@@ -108,48 +128,48 @@
         self._audit = audit
         self._rng = random.Random(seed)
         self._offload = offload
-        self._offering = anyio.Lock()
-        self._heard: dict[RouterName, int] = {}
-        self._news = anyio.Event()
+        self._offer_lock = anyio.Lock()
+        self._reported_versions: dict[RouterName, int] = {}
+        self._version_reported = anyio.Event()
         self._settled = anyio.Event()
         self._vm_list_version = 0
-        self._refusals: set[tuple[Verdict, int]] = set()
-        self._invalid_version = 0
+        self._logged_refusals: set[tuple[Verdict, int]] = set()
+        self._highest_invalid_version = 0
 
     @property
     def settled(self) -> anyio.Event:
-        """Return the event after which this router may serve."""
+        """Return the event that is set once this router may serve."""
         return self._settled
 
     @property
     def is_watcher(self) -> bool:
-        """Tell whether this router long-polls for its data centre."""
-        return self._me in watchers(self._live(), WATCHERS)
+        """Return whether this router is a watcher of its data centre."""
+        return self._me in watchers(self._live(), WATCHERS_PER_DATA_CENTRE)
 
     async def run(self) -> None:
         """Run until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._vm_list_poller().run)
             group.start_soon(self._manifest_poller().run)
-            group.start_soon(self._follow_news)
+            group.start_soon(self._fetch_reported_versions)
             group.start_soon(self._join)
 
     def record_peer_version(self, router: RouterName, version: int) -> None:
-        """Note the version that a peer says it has in force."""
-        if version > max(self._store.version, self._invalid_version):
-            self._heard[router] = version
-            self._news.set()
+        """Record the version that a peer reports as in force."""
+        if version > max(self._store.version, self._highest_invalid_version):
+            self._reported_versions[router] = version
+            self._version_reported.set()
 
     def give(self, wanted: TablesWanted) -> TablesGiven:
-        """Answer a peer's question."""
+        """Return the reply to a peer's request for tables."""
         return self._store.give(wanted)
 
     def _manifest_poller(self) -> Poller:
         return Poller(
             "manifest",
             self._source.manifest,
-            self._take_manifest,
-            watches=lambda: self.is_watcher,
+            self._apply_manifest,
+            is_watcher=lambda: self.is_watcher,
             period_s=MANIFEST_PERIOD_S,
             rng=self._rng,
         )
@@ -158,27 +178,27 @@
         return Poller(
             "vm_list",
             self._source.vm_list,
-            self._take_vm_list,
-            watches=lambda: self.is_watcher,
+            self._apply_vm_list,
+            is_watcher=lambda: self.is_watcher,
             period_s=VM_LIST_PERIOD_S,
             rng=self._rng,
         )
 
     async def _join(self) -> None:
-        """Let this router serve once it knows what its peers have in force."""
+        """Set `settled` once the peers' versions are known or the wait is over."""
         deadline = anyio.current_time() + JOIN_TIMEOUT_S
         while not self._settled.is_set():
-            learned = await self._ask_peers()
+            conclusive = await self._ask_peers()
             late = anyio.current_time() >= deadline
-            if self._store.in_force is not None and (learned or late):
+            if self._store.in_force is not None and (conclusive or late):
                 self._settled.set()
             else:
                 await anyio.sleep(JOIN_RETRY_S)
 
     async def _ask_peers(self) -> bool:
-        """Ask some peers for their tables; return whether the answers settle it.
+        """Ask some peers for their tables; return whether the answers are conclusive.
 
-        They do if one has tables, or if every peer answered and none has any.
+        They are if a peer has tables, or if every peer answered and none has any.
         """
         peers = [peer for peer in self._peers() if peer != self._me]
         asked = self._rng.sample(peers, min(JOIN_PEERS, len(peers)))
@@ -188,7 +208,7 @@
             try:
                 versions.append(await self._fetch(peer))
             except (TransportError, ConfigurationError) as error:
-                logger.debug("peer %s gave no tables: %s", peer, error)
+                logger.debug("cannot fetch tables from peer %s: %s", peer, error)
 
         async with anyio.create_task_group() as group:
             for peer in asked:
@@ -196,29 +216,39 @@
         all_answered = bool(peers) and len(versions) == len(peers)
         return any(versions) or all_answered
 
-    async def _follow_news(self) -> None:
-        """Fetch what peers have and this router lacks."""
+    async def _fetch_reported_versions(self) -> None:
+        """Fetch newer versions that peers report."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
-            while (router := self._best_heard()) is not None:
-                del self._heard[router]
+            await self._version_reported.wait()
+            self._version_reported = anyio.Event()
+            while (router := self._peer_with_highest_version()) is not None:
+                del self._reported_versions[router]
                 try:
                     await self._fetch(router)
                 except FulmarroadError as error:
-                    # Gossip tells the version again, from this peer or another one.
-                    logger.debug("fetch from %s failed: %s", router, error)
-
-    def _best_heard(self) -> RouterName | None:
-        floor = max(self._store.version, self._invalid_version)
-        self._heard = {name: v for name, v in self._heard.items() if v > floor}
-        if not self._heard:
+                    # Gossip reports the version again, from this peer or another one.
+                    logger.debug("cannot fetch tables from peer %s: %s", router, error)
+
+    def _peer_with_highest_version(self) -> RouterName | None:
+        handled_version = max(self._store.version, self._highest_invalid_version)
+        self._reported_versions = {
+            name: v
+            for name, v in self._reported_versions.items()
+            if v > handled_version
+        }
+        if not self._reported_versions:
             return None
-        highest = max(self._heard.values())
-        return self._rng.choice([n for n, v in self._heard.items() if v == highest])
+        highest = max(self._reported_versions.values())
+        return self._rng.choice(
+            [n for n, v in self._reported_versions.items() if v == highest]
+        )
 
     async def _fetch(self, router: RouterName) -> int:
-        """Fetch a peer's tables in as many answers as they need; return its version."""
+        """Fetch a peer's tables in as many replies as needed; return its version.
+
+        Raise `TransportError` if the peer cannot be reached, and `ConfigurationError`
+        if it does not send complete tables.
+        """
         parts: dict[str, bytes] = {}
         while True:
             wanted = self._store.wanted()
@@ -227,50 +257,50 @@
             if not given.manifest:
                 return given.version
             manifest = parse_manifest(given.manifest)
-            fresh = given.parts.keys() - parts.keys()
+            new_parts = given.parts.keys() - parts.keys()
             parts |= given.parts
             acceptance = await self._offer(manifest, parts, f"peer {router}")
             if acceptance.verdict is not Verdict.INCOMPLETE:
                 return given.version
-            if not fresh or acceptance.problems or len(parts) > MAX_PARTS:
-                raise ConfigurationError(f"Peer {router} gave no whole tables.")
+            if not new_parts or acceptance.problems or len(parts) > MAX_PARTS:
+                raise ConfigurationError(f"Peer {router} did not send complete tables.")
 
-    async def _take_manifest(self, body: bytes) -> None:
+    async def _apply_manifest(self, body: bytes) -> None:
         try:
             manifest = parse_manifest(body)
         except ConfigurationError as error:
-            self._reject("service", 0, error.problems or (error.message,))
+            self._log_rejected("service", 0, error.problems or (error.message,))
             return
         if manifest.version == 0:
             return
         acceptance = self._store.consider(manifest, "service")
         if acceptance.verdict is not Verdict.INCOMPLETE:
-            self._note_refusal(acceptance)
+            self._report_refusal(acceptance)
             return
         parts = {sha: await self._source.part(sha) for sha in acceptance.missing}
         acceptance = await self._offer(manifest, parts, "service")
         if acceptance.verdict is Verdict.INCOMPLETE:
             raise ConfigurationServiceError(
-                "The configuration service gave damaged parts: "
+                "The configuration service returned damaged parts: "
                 + "; ".join(acceptance.problems)
             )
 
     async def _offer(
         self, manifest: Manifest, parts: dict[str, bytes], source: str
     ) -> Acceptance:
-        async with self._offering:
+        async with self._offer_lock:
             acceptance = await self._offload(self._store.offer, manifest, parts, source)
             if acceptance.accepted:
-                self._note_accepted(acceptance)
+                self._report_accepted(acceptance)
             else:
-                self._note_refusal(acceptance)
+                self._report_refusal(acceptance)
             return acceptance
 
-    def _note_accepted(self, acceptance: Acceptance) -> None:
+    def _report_accepted(self, acceptance: Acceptance) -> None:
         tables = self._store.in_force
         if tables is None:
             return
-        self._refusals.clear()
+        self._logged_refusals.clear()
         fields = {"version": acceptance.version, "before": acceptance.before}
         emit(logger, Event.TABLES_ACCEPTED, **fields, source=acceptance.source)
         if acceptance.source != "service":
@@ -287,7 +317,7 @@
             cause=acceptance.source,
             version=acceptance.version,
         )
-        for change in acceptance.changes[:AUDITED_CHANGES]:
+        for change in acceptance.changes[:MAX_AUDITED_CHANGES]:
             self._audit_change(change, acceptance.version)
 
     def _audit_change(self, change: TableChange, version: int) -> None:
@@ -301,35 +331,35 @@
             version=version,
         )
 
-    def _note_refusal(self, acceptance: Acceptance) -> None:
+    def _report_refusal(self, acceptance: Acceptance) -> None:
         verdict, version = acceptance.verdict, acceptance.version
         if verdict in (Verdict.UNCHANGED, Verdict.INCOMPLETE):
             return
-        if (verdict, version) in self._refusals:
+        if (verdict, version) in self._logged_refusals:
             return
-        if len(self._refusals) >= KEPT_REFUSALS:
-            self._refusals.clear()
-        self._refusals.add((verdict, version))
+        if len(self._logged_refusals) >= MAX_REMEMBERED_REFUSALS:
+            self._logged_refusals.clear()
+        self._logged_refusals.add((verdict, version))
         fields = {"before": acceptance.before, "source": acceptance.source}
         if verdict is Verdict.LOWER:
             emit(logger, Event.TABLES_LOWER, version=version, **fields)
         elif verdict is Verdict.CONFLICT:
             emit(logger, Event.TABLES_CONFLICT, version=version, **fields)
         else:
-            self._invalid_version = max(self._invalid_version, version)
-            self._reject(acceptance.source, version, acceptance.problems)
+            self._highest_invalid_version = max(self._highest_invalid_version, version)
+            self._log_rejected(acceptance.source, version, acceptance.problems)
 
-    def _reject(self, source: str, version: int, problems: Sequence[str]) -> None:
+    def _log_rejected(self, source: str, version: int, problems: Sequence[str]) -> None:
         emit(
             logger,
             Event.TABLES_REJECTED,
             source=source,
             version=version,
             problem_count=len(problems),
-            problems=list(problems[:SHOWN_PROBLEMS]),
+            problems=list(problems[:MAX_LOGGED_PROBLEMS]),
         )
 
-    async def _take_vm_list(self, body: bytes) -> None:
+    async def _apply_vm_list(self, body: bytes) -> None:
         try:
             listing = parse_vm_list(body)
         except ConfigurationError as error:
--- a/packages/fulmarroad/src/fulmarroad/_manifest.py
+++ b/packages/fulmarroad/src/fulmarroad/_manifest.py
@@ -1,8 +1,8 @@
-"""The manifest: which parts make up one version of the tables.
+"""The manifest, which lists the parts of one version of the tables.
 
-The configuration service holds values of at most a megabyte and counts each read, so
-the tables are cut into parts that are named by their content's SHA-256. A change then
-costs one read of the manifest and one of each part that changed.
+The configuration service stores values of at most one megabyte and counts each read, so
+the tables are split into parts that are identified by the SHA-256 of their content. A
+change then costs one read of the manifest and one of each changed part.
 """
 
 from __future__ import annotations
@@ -19,22 +19,24 @@
 from fulmarroad.exceptions import ConfigurationError
 
 MAX_PART_BYTES = 1_000_000
-"""The largest value that the configuration service holds."""
+"""Maximum size in bytes of a value in the configuration service."""
 
 MAX_PARTS = 64
-"""Parts of one version. A change costs every router one part, so many small parts are
-cheaper; above 64 the manifest itself, read with each change, begins to weigh."""
+"""Maximum number of parts of one version.
+
+Each router reads one part per change, so many small parts are cheaper. Above 64 parts,
+the size of the manifest, which is read on every change, begins to matter."""
 
 MAX_TABLE_BYTES = 8_000_000
-"""Bytes of all parts: nearly four times what 16,000 workspaces need, so that a wrong
-manifest can't fill a small VM."""
+"""Maximum total bytes of all parts, so that a wrong manifest cannot exhaust the memory
+of a small VM; nearly four times the size needed for 16,000 workspaces."""
 
 MAX_VERSION = 2**53
-"""Versions stay exact in every JSON reader."""
+"""Largest version number, which every JSON parser reads exactly."""
 
 
 class TableName(enum.StrEnum):
-    """Name the table that a part belongs to."""
+    """Name the tables to which a part can belong."""
 
     ROUTES = "routes"
     POOLS = "pools"
@@ -42,7 +44,7 @@
 
 @frozen
 class ManifestPart:
-    """Name one part by its content; `bytes` is its size."""
+    """Identify one part by the SHA-256 of its content; `bytes` is its size."""
 
     table: TableName
     name: str
@@ -52,7 +54,7 @@
 
 @frozen
 class Manifest:
-    """List the parts of one version; `raw` is the text as it was published."""
+    """List the parts of one version; `raw` is the published text."""
 
     version: int
     parts: tuple[ManifestPart, ...]
@@ -60,7 +62,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """Return a digest of the content, which order and layout don't change."""
+        """Return a digest of the content, independent of part order and layout."""
         lines = sorted(f"{part.table} {part.sha256}" for part in self.parts)
         return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
@@ -79,29 +81,33 @@
 _check_version = checks.whole(0, MAX_VERSION)
 
 
-def load_toml(raw: bytes, what: str) -> dict[str, Any]:
-    """Return the document of a TOML text.
+def load_toml(raw: bytes, source_name: str) -> dict[str, Any]:
+    """Parse a TOML text; `source_name` names it in error messages.
 
-    Raise `ConfigurationError` that names the line.
+    Raise `ConfigurationError`, with the line number of a syntax error.
     """
     try:
         return tomllib.loads(raw.decode())
     except RecursionError as error:
         problem = "is nested too deeply"
-        raise ConfigurationError(f"{what} {problem}.", problems=(problem,)) from error
+        raise ConfigurationError(
+            f"{source_name} {problem}.", problems=(problem,)
+        ) from error
     except ValueError as error:
-        problem = f"is no TOML: {error}"
-        raise ConfigurationError(f"{what} {problem}.", problems=(problem,)) from error
+        problem = f"is not valid TOML: {error}"
+        raise ConfigurationError(
+            f"{source_name} {problem}.", problems=(problem,)
+        ) from error
 
 
 def parse_manifest(raw: bytes) -> Manifest:
-    """Return the manifest of a TOML text.
+    """Parse a manifest from TOML text.
 
-    Raise `ConfigurationError` with every problem found. Version 0 without a part means
+    Raise `ConfigurationError` with every problem found. Version 0 without parts means
     that nothing has been published.
     """
     if len(raw) > MAX_PART_BYTES:
-        raise ConfigurationError(f"The manifest of {len(raw)} bytes is too large.")
+        raise ConfigurationError(f"The manifest is too large: {len(raw)} bytes.")
     document = load_toml(raw, "The manifest")
     problems: list[str] = []
     version = _read_version(document, problems)
@@ -117,7 +123,7 @@
     return Manifest(version, parts, raw)
 
 
-_HINT = "Correct the published manifest; the tables in force stay until then."
+_HINT = "Correct the published manifest; the current tables stay in force until then."
 
 
 def _read_version(document: Mapping[str, Any], problems: list[str]) -> int:
@@ -133,7 +139,9 @@
         problems.append("manifest: part: must be written as [[part]]")
         return ()
     if len(rows) > MAX_PARTS:
-        problems.append(f"manifest: part: must be at most {MAX_PARTS}; are {len(rows)}")
+        problems.append(
+            f"manifest: part: must be at most {MAX_PARTS} rows, got {len(rows)}"
+        )
         return ()
     parts: list[ManifestPart] = []
     for index, row in enumerate(rows, 1):
@@ -143,7 +151,7 @@
     problems += _duplicates(parts)
     total = sum(part.bytes for part in parts)
     if total > MAX_TABLE_BYTES:
-        problems.append(f"manifest: bytes: are {total} in all, above {MAX_TABLE_BYTES}")
+        problems.append(f"manifest: bytes: total {total} is above {MAX_TABLE_BYTES}")
     return tuple(parts)
 
 
@@ -177,18 +185,18 @@
 
 
 def check_part(part: ManifestPart, content: bytes) -> str:
-    """Return what is wrong with a part's content, or nothing."""
+    """Return the problem with a part's content, or an empty string if it is valid."""
     if len(content) != part.bytes:
-        return f"has {len(content)} bytes, the manifest says {part.bytes}"
+        return f"has {len(content)} bytes, the manifest lists {part.bytes}"
     if hashlib.sha256(content).hexdigest() != part.sha256:
-        return "has another SHA-256 than the manifest says"
+        return "has another SHA-256 than the manifest lists"
     return ""
 
 
 def build_manifest(
     version: int, parts: Mapping[tuple[TableName, str], bytes]
 ) -> Manifest:
-    """Return the manifest of parts given by table and name, for publishers."""
+    """Build the manifest of a version from its parts, keyed by table and name."""
     rows = tuple(
         ManifestPart(table, name, hashlib.sha256(content).hexdigest(), len(content))
         for (table, name), content in parts.items()
--- a/packages/fulmarroad/src/fulmarroad/configuration.py
+++ b/packages/fulmarroad/src/fulmarroad/configuration.py
@@ -1,4 +1,4 @@
-"""Reading and watching the configuration service and the VM list."""
+"""Polling of the configuration service and of the VM list."""
 
 from fulmarroad._config_polling import Backoff, Poller
 from fulmarroad._config_source import (
--- a/packages/fulmarroad/src/fulmarroad/events.py
+++ b/packages/fulmarroad/src/fulmarroad/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/EVENTS.md is their catalogue."""
+"""Numbered log events; docs/EVENTS.md lists them all."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Event(enum.Enum):
-    """Name every event that a process may log; a number is never used again."""
+    """Define every event that a process may log; numbers are never reused."""
 
     # 100: processes and tasks
     STARTED = EventKind(100, _I, "process started")
@@ -113,7 +113,7 @@
 
 
 def emit(logger: logging.Logger, event: Event, **fields: Any) -> None:
-    """Log an event with its number and fields."""
+    """Log an event with its number and fields, if its level is enabled."""
     kind = event.value
     if not logger.isEnabledFor(kind.level):
         return
--- a/packages/fulmarroad/src/fulmarroad/exceptions.py
+++ b/packages/fulmarroad/src/fulmarroad/exceptions.py
@@ -1,10 +1,10 @@
-"""Errors of the library: one base class that knows its exit code."""
+"""Exceptions of the library; the base class defines the exit code of commands."""
 
 from __future__ import annotations
 
 
 class FulmarroadError(Exception):
-    """Report a failure in the user's words, with what to do next."""
+    """Report a failure to the user, with a hint on what to do next."""
 
     exit_code = 1
 
@@ -14,7 +14,7 @@
         self.hint = hint
 
     def show(self) -> str:
-        """Return the text for a terminal or a log line."""
+        """Return the message and the hint as text for a terminal or a log."""
         if self.hint:
             return f"{self.message}\n  {self.hint}"
         return self.message
@@ -24,15 +24,15 @@
 
 
 class MessageError(FulmarroadError):
-    """Reject bytes from another router that are no message of ours."""
+    """Report bytes from another router that are not a valid message."""
 
 
 class TransportError(FulmarroadError):
-    """Report that a peer could not be reached or broke off."""
+    """Report that a peer could not be reached or closed the connection."""
 
 
 class ConfigurationError(FulmarroadError):
-    """Reject tables or settings; `problems` lists every fault found."""
+    """Report invalid tables or settings; `problems` lists every problem found."""
 
     exit_code = 2
 
@@ -43,7 +43,7 @@
         self.problems = problems
 
     def show(self) -> str:
-        """Return the message with one line for each problem."""
+        """Return the message, one line per problem, and the hint."""
         lines = [self.message, *(f"  - {problem}" for problem in self.problems)]
         if self.hint:
             lines.append(f"  {self.hint}")
@@ -51,7 +51,7 @@
 
 
 class ConfigurationServiceError(FulmarroadError):
-    """Report that the configuration service gave no usable answer."""
+    """Report that the configuration service returned no usable answer."""
 
 
 class SupervisionError(FulmarroadError):
--- a/packages/fulmarroad/src/fulmarroad/metrics.py
+++ b/packages/fulmarroad/src/fulmarroad/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; docs/METRICS.md lists each with its unit and meaning."""
+"""Metrics sent to statsd; docs/METRICS.md lists each with its unit and meaning."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class Metrics(Protocol):
-    """Take counts, readings and times."""
+    """Record counters, gauges and timings."""
 
     def incr(self, name: str, count: int = 1) -> None:
         """Add to a counter."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a reading."""
+        """Set the value of a gauge."""
 
     def timing(self, name: str, seconds: float) -> None:
-        """Add one duration."""
+        """Record one duration in seconds."""
 
 
 class NoMetrics:
-    """Drop everything: for embedding and tests."""
+    """Discard all metrics, for embedding and tests."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Drop a count."""
+        """Discard a count."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Drop a reading."""
+        """Discard a gauge value."""
 
     def timing(self, name: str, seconds: float) -> None:
-        """Drop a duration."""
+        """Discard a duration."""
 
 
 class StatsdMetrics:
-    """Send metrics by UDP; a collector that is away costs nothing."""
+    """Send metrics over UDP; an unreachable collector does not affect callers."""
 
     def __init__(self, host: str, port: int, prefix: str = "fulmarroad") -> None:
         self._client = StatsClient(host, port, prefix=prefix)
@@ -44,9 +44,9 @@
         self._client.incr(name, count)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a reading."""
+        """Set the value of a gauge."""
         self._client.gauge(name, value)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Add one duration; statsd takes milliseconds."""
+        """Record one duration in seconds; statsd receives milliseconds."""
         self._client.timing(name, seconds * 1000)
--- a/packages/fulmarroad/tests/test_acceptance.py
+++ b/packages/fulmarroad/tests/test_acceptance.py
@@ -1,4 +1,4 @@
-"""Random exchanges between table stores: the version in force never reverts."""
+"""Stateful test of table stores: the version in force never decreases."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 VERSIONS = st.integers(1, 6)
 
 
-def published(version, *, variant=0, good=True):
-    """Return a version; its workspaces part changes with each one, the rest never."""
+def build_version(version, *, variant=0, good=True):
+    """Return a manifest and its parts; only the workspaces part differs by version."""
     weight = 1 if good else -1
     routes = f'[[workspace]]\nname = "w{version}-{variant}"\nweight = {weight}\n'
     contents = {
@@ -34,9 +34,10 @@
 
 class TableExchange(RuleBasedStateMachine):
     """
-    Routers read a service that may be stale, and exchange tables by messages that are
-    lost, late, doubled or damaged, while some restart with no memory. Were a version
-    to fall at one of them, callers there would meet rules that operators withdrew.
+    Guards against a router that returns to an older version and so applies rules that
+    operators have withdrawn. Routers read a service that may be stale and exchange
+    tables in messages that are lost, delayed, duplicated or damaged, while some routers
+    restart without any tables.
     """
 
     def __init__(self):
@@ -48,63 +49,63 @@
 
     @rule(node=NODES, version=VERSIONS, variant=st.integers(0, 1), good=st.booleans())
     def read_service(self, node, version, variant, good):
-        manifest, parts = published(version, variant=variant, good=good)
-        answer = self.stores[node].offer(manifest, parts, "service")
-        assert answer.accepted == (good and version > answer.before)
+        manifest, parts = build_version(version, variant=variant, good=good)
+        result = self.stores[node].offer(manifest, parts, "service")
+        assert result.accepted == (good and version > result.before)
 
-    @rule(asker=NODES, giver=NODES)
-    def ask(self, asker, giver):
-        self.in_flight.append((asker, self.stores[giver].give(self.wanted(asker))))
+    @rule(asker=NODES, peer=NODES)
+    def ask_peer(self, asker, peer):
+        self.in_flight.append((asker, self.stores[peer].give(self.wanted(asker))))
 
-    @rule(data=st.data(), twice=st.booleans())
-    def deliver(self, data, twice):
+    @rule(data=st.data(), duplicate=st.booleans())
+    def deliver_message(self, data, duplicate):
         if not self.in_flight:
             return
         index = data.draw(st.integers(0, len(self.in_flight) - 1))
-        asker, given = self.in_flight[index]
-        if not twice:
+        asker, reply = self.in_flight[index]
+        if not duplicate:
             del self.in_flight[index]
-        self.take(asker, given)
+        self.receive(asker, reply)
 
     @rule(data=st.data())
-    def damage(self, data):
+    def damage_message(self, data):
         if not self.in_flight:
             return
         index = data.draw(st.integers(0, len(self.in_flight) - 1))
-        asker, given = self.in_flight[index]
-        parts = {sha: raw[::-1] for sha, raw in given.parts.items()}
+        asker, reply = self.in_flight[index]
+        parts = {sha: raw[::-1] for sha, raw in reply.parts.items()}
         self.in_flight[index] = (
             asker,
-            TablesGiven(given.version, given.manifest, parts),
+            TablesGiven(reply.version, reply.manifest, parts),
         )
 
     @rule()
-    def lose(self):
+    def lose_message(self):
         del self.in_flight[:1]
 
     @rule(node=NODES, peer=NODES)
     def restart(self, node, peer):
-        """Forget everything, then ask a peer that is up before serving."""
+        """Drop all tables, then fetch them from a running peer before serving."""
         if node == peer:
             return
         self.stores[node] = TableStore()
         self.highest[node] = 0
         self.content[node] = None
-        given = self.stores[peer].give(self.wanted(node))
-        self.take(node, given)
+        reply = self.stores[peer].give(self.wanted(node))
+        self.receive(node, reply)
         assert self.stores[node].version == self.stores[peer].version
 
     def wanted(self, node):
         return self.stores[node].wanted()
 
-    def take(self, node, given):
-        if given.manifest:
-            manifest = parse_manifest(given.manifest)
-            answer = self.stores[node].offer(manifest, given.parts, "peer")
-            assert answer.verdict is not Verdict.INVALID
+    def receive(self, node, reply):
+        if reply.manifest:
+            manifest = parse_manifest(reply.manifest)
+            result = self.stores[node].offer(manifest, reply.parts, "peer")
+            assert result.verdict is not Verdict.INVALID
 
     @invariant()
-    def never_reverts(self):
+    def version_never_decreases(self):
         for node, store in enumerate(self.stores):
             assert store.version >= self.highest[node]
             tables = store.in_force
@@ -114,7 +115,7 @@
             self.content[node] = tables
 
     @invariant()
-    def holds_what_the_manifest_names(self):
+    def holds_exactly_the_parts_of_the_manifest(self):
         for store in self.stores:
             if store.manifest is not None:
                 assert set(store.known) == store.manifest.hashes
--- a/packages/fulmarroad/tests/test_configuration.py
+++ b/packages/fulmarroad/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration task, in virtual time against a small fake service."""
+"""Tests of the configuration task, in virtual time and with a fake service."""
 
 from __future__ import annotations
 
@@ -35,13 +35,15 @@
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Let the time of the next timer come at once instead of waiting for it."""
+    """Advance the virtual time to the next timer instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("Every task waits for something that never comes.")
+            raise RuntimeError(
+                "Deadlock: all tasks are waiting and no timer is pending."
+            )
         self.now += max(0.0, timeout)
         return []
 
@@ -59,12 +61,12 @@
     return anyio.run(function, backend_options={"loop_factory": VirtualLoop})
 
 
-async def at_once(function, *arguments):
+async def run_inline(function, *arguments):
     return function(*arguments)
 
 
 class FakeService:
-    """Hold manifest, parts and VM list as the configuration service does."""
+    """Serve a manifest, parts and a VM list like the configuration service."""
 
     def __init__(self):
         self.down = False
@@ -88,7 +90,7 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    def lose_part(self):
+    def remove_part(self):
         self._parts.popitem()
 
     async def manifest(self, etag, wait_s):
@@ -137,12 +139,12 @@
     store: TableStore
     watcher: ConfigurationWatcher
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
-    taken: list = field(factory=list)
+    applied_tables: list = field(factory=list)
     audit: AuditTrail = field(factory=AuditTrail)
 
 
 class Fleet:
-    """Run watchers that hear of each other's versions as membership tells them."""
+    """Run configuration watchers that learn each other's versions through gossip."""
 
     GOSSIP_S = 0.5
 
@@ -151,28 +153,34 @@
         self.service = service
         self.nodes = {}
         self.cut = set()  # data centres cut off from the others
-        self.cut_from_service = set()
+        self.centres_without_service = set()
         self._rng = random.Random(seed)
         for number in range(centres * size):
             self.start(f"n{number}", f"dc{number % centres}")
 
     def start(self, name, centre):
-        """Start a router that knows nothing, also in place of one that ran."""
-        taken, audit, store = [], AuditTrail(clock=anyio.current_time), TableStore()
+        """Start a router without tables, possibly in place of a stopped one."""
+        applied_tables, audit, store = (
+            [],
+            AuditTrail(clock=anyio.current_time),
+            TableStore(),
+        )
         watcher = ConfigurationWatcher(
             store,
-            _Reach(self, name),
+            _ServiceAccess(self, name),
             me=name,
             live=lambda: [n.name for n in self.nodes.values() if n.centre == centre],
             peers=lambda: [peer for peer in self.nodes if peer != name],
             fetch_from_peer=lambda peer, wanted: self.fetch(name, peer, wanted),
-            on_tables=taken.append,
+            on_tables=applied_tables.append,
             on_vm_list=lambda listing: None,
             audit=audit,
             seed=self._rng.getrandbits(32),
-            offload=at_once,
+            offload=run_inline,
+        )
+        node = Node(
+            name, centre, store, watcher, applied_tables=applied_tables, audit=audit
         )
-        node = Node(name, centre, store, watcher, taken=taken, audit=audit)
         self.nodes[name] = node
         self.group.start_soon(self._run, node)
         return node
@@ -190,11 +198,11 @@
         while True:
             await anyio.sleep(self._rng.uniform(0.5, 1.5) * self.GOSSIP_S)
             other = self._rng.choice(list(self.nodes.values()))
-            if other is not node and self.reaches(node.name, other.name):
+            if other is not node and self.can_reach(node.name, other.name):
                 other.watcher.record_peer_version(node.name, node.store.version)
                 node.watcher.record_peer_version(other.name, other.store.version)
 
-    def reaches(self, one, other):
+    def can_reach(self, one, other):
         if one not in self.nodes or other not in self.nodes:
             return False
         centres = {self.nodes[one].centre, self.nodes[other].centre}
@@ -202,15 +210,15 @@
 
     async def fetch(self, asker, peer, wanted):
         await anyio.sleep(0.003)
-        if not self.reaches(asker, peer):
+        if not self.can_reach(asker, peer):
             raise TransportError("cut off")
         return self.nodes[peer].watcher.give(wanted)
 
     def versions(self):
         return {node.store.version for node in self.nodes.values()}
 
-    async def until(self, version, *, within):
-        """Wait until every router has a version; return the seconds that it took."""
+    async def wait_for_version(self, version, *, within):
+        """Wait until every router has a version; return the elapsed seconds."""
         began = anyio.current_time()
         while self.versions() != {version}:
             assert anyio.current_time() < began + within, self.versions()
@@ -218,8 +226,8 @@
         return anyio.current_time() - began
 
 
-class _Reach:
-    """Give one router the service, unless it is cut off from it."""
+class _ServiceAccess:
+    """Connect one router to the service, unless its data centre is cut off."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
@@ -227,29 +235,29 @@
 
     def __getattr__(self, method):
         async def call(*arguments):
-            self._check()
+            self._fail_if_cut_off()
             reply = await getattr(self._fleet.service, method)(*arguments)
-            self._check()
+            self._fail_if_cut_off()
             return reply
 
         return call
 
-    def _check(self):
+    def _fail_if_cut_off(self):
         node = self._fleet.nodes.get(self._name)
-        if node and node.centre in self._fleet.cut_from_service:
+        if node and node.centre in self._fleet.centres_without_service:
             raise ConfigurationServiceError("cut off")
 
 
-def play(scene, **options):
-    """Run a scene with a fleet that has version 1 everywhere."""
+def run_scenario(scenario, **options):
+    """Run a scenario on a fleet in which every router has version 1."""
 
     async def main():
         service = FakeService()
         service.publish(1)
         async with anyio.create_task_group() as group:
             fleet = Fleet(group, service, **options)
-            await fleet.until(1, within=5)
-            await scene(fleet, service)
+            await fleet.wait_for_version(1, within=5)
+            await scenario(fleet, service)
             group.cancel_scope.cancel()
 
     run_virtually(main)
@@ -259,25 +267,25 @@
     return [row for row in caplog.records if row.event == event.value.number]
 
 
-class TestSpread:
-    def test_a_change_is_in_force_everywhere_within_seconds_for_few_reads(self):
+class TestPropagation:
+    def test_a_change_reaches_every_router_within_seconds_with_few_reads(self):
         """
-        Operators publish a change. Of 36 routers 6 watch; were it 36, the service would
-        count six times as many calls and the fleet would outgrow it.
+        Guards against every router reading each change from the service. Only 6 of the
+        36 routers watch; if all did, the service would receive six times as many calls.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             await anyio.sleep(90)
             service.calls.clear()
             service.publish(2, weight=5)
-            assert await fleet.until(2, within=5) < 5
+            assert await fleet.wait_for_version(2, within=5) < 5
             assert service.calls["part"] == 6
             assert service.calls["manifest"] <= 6 + 6 + 3
 
-        play(scene, size=12)
+        run_scenario(scenario, size=12)
 
-    def test_a_quiet_fleet_makes_few_calls(self):
-        async def scene(fleet, service):
+    def test_an_unchanged_configuration_costs_few_calls(self):
+        async def scenario(fleet, service):
             await anyio.sleep(60)
             service.calls.clear()
             await anyio.sleep(300)
@@ -285,50 +293,52 @@
             assert service.calls["manifest"] <= 1.2 * (watching * 10 + slow * 5)
             assert service.calls["vm_list"] <= 1.2 * (watching * 10 + slow * 20)
 
-        play(scene, size=12)
+        run_scenario(scenario, size=12)
 
     @pytest.mark.parametrize("fault", ["ignores_wait", "gives_etag"])
-    def test_a_service_that_does_not_let_wait_is_not_flooded(self, fault):
+    def test_a_service_that_answers_long_polls_at_once_is_not_flooded(self, fault):
         """
-        A proxy before the service drops `Prefer: wait` or the entity tag, so that each
-        watch returns at once. Without a pause every watcher would ask at full speed.
+        Guards against watchers that poll without a pause. A proxy in front of the
+        service drops `Prefer: wait` or the entity tag, so each long poll returns at
+        once.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             setattr(service, fault, not getattr(service, fault))
             await anyio.sleep(40)
             service.calls.clear()
             await anyio.sleep(60)
             assert service.calls["manifest"] <= 6 * 60 + 9
 
-        play(scene)
+        run_scenario(scenario)
 
-    def test_another_router_watches_when_a_watcher_is_lost(self):
+    def test_other_routers_become_watchers_when_the_watchers_are_lost(self):
         """
-        Both watchers of each data centre die. Until others take their place a change
-        would wait for a slow poll, a minute or more.
+        Guards against a change that waits for a slow poll, a minute or more, because
+        both watchers of each data centre are down and no other router replaces them.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             watching = [n.name for n in fleet.nodes.values() if n.watcher.is_watcher]
             assert len(watching) == 6
             for name in watching:
                 fleet.stop(name)
             await anyio.sleep(6)
             service.publish(2)
-            await fleet.until(2, within=1)
+            await fleet.wait_for_version(2, within=1)
 
-        play(scene, size=4)
+        run_scenario(scenario, size=4)
 
 
 class TestServiceDown:
     def test_tables_stay_in_force_and_calls_stay_few(self, caplog):
         """
-        The configuration service is down for five minutes. Callers notice nothing; when
-        it is back it isn't met by every router in the same second.
+        Guards against lost tables while the configuration service is down for five
+        minutes, and against retries of all routers in the same second, which would
+        overload it when it returns.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.down = True
             await anyio.sleep(60)
             service.call_times.clear()
@@ -340,76 +350,78 @@
             assert fleet.versions() == {1}
             service.down = False
             service.publish(2)
-            assert await fleet.until(2, within=35) < 35
+            assert await fleet.wait_for_version(2, within=35) < 35
 
         with caplog.at_level(logging.INFO):
-            play(scene, size=12)
+            run_scenario(scenario, size=12)
         down = events(caplog, Event.SERVICE_UNREACHABLE)
         assert 0 < len(down) <= 72
 
-    def test_a_part_that_cannot_be_read_is_asked_for_again(self):
+    def test_a_part_that_cannot_be_read_is_read_again(self):
         """
-        The manifest is published a moment before its part. The version is taken when
-        the part is there, though the manifest never changes again.
+        Guards against a version that is never accepted because its manifest was
+        published before its parts. It must be accepted once the parts exist, although
+        the manifest does not change again.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, weight=7)
-            service.lose_part()
-            service.lose_part()
+            service.remove_part()
+            service.remove_part()
             await anyio.sleep(3)
             assert fleet.versions() == {1}
             service.publish(2, weight=7)
-            await fleet.until(2, within=35)
+            await fleet.wait_for_version(2, within=35)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class TestStaleService:
-    def test_a_lower_version_is_refused_and_reported_once(self, caplog):
+    def test_a_lower_version_is_refused_and_logged_once(self, caplog):
         """
-        The service is restored from an old copy. Were its version taken, a data centre
-        that is out would get work again; the log says that the service is behind.
+        Guards against sending work to a data centre that is out of service because the
+        configuration service was restored from an old copy. The log reports the lower
+        version.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, state="out")
-            await fleet.until(2, within=5)
+            await fleet.wait_for_version(2, within=5)
             service.publish(1)
             service.gives_etag = False
             await anyio.sleep(300)
             assert fleet.versions() == {2}
 
         with caplog.at_level(logging.INFO):
-            play(scene)
+            run_scenario(scenario)
         assert len(events(caplog, Event.TABLES_LOWER)) == 9
 
-    def test_a_restarted_router_takes_the_version_of_its_peers(self):
+    def test_a_restarted_router_uses_the_version_of_its_peers(self):
         """
-        While the service is stale a router restarts with no memory. It doesn't serve
-        under the stale version: it asks its peers first.
+        Guards against a router that restarts without tables while the service is stale
+        and serves with the stale version. It must ask its peers first.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, state="out")
-            await fleet.until(2, within=5)
+            await fleet.wait_for_version(2, within=5)
             service.publish(1)
             fleet.stop("n4")
             node = fleet.start("n4", "dc1")
             await node.watcher.settled.wait()
             assert node.store.version == 2
 
-        play(scene)
+        run_scenario(scenario)
 
-    def test_a_restarted_router_waits_until_it_knows_its_peers(self):
+    def test_a_restarted_router_does_not_serve_before_it_finds_peers(self):
         """
-        A router restarts and reads the stale service before membership has found
-        anybody. Did it serve at once, it would bring the old table back for a second.
+        Guards against a restarted router that serves with an old version for a second:
+        it reads the stale service before membership has found any peer.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, state="out")
-            await fleet.until(2, within=5)
+            await fleet.wait_for_version(2, within=5)
             service.publish(1)
             fleet.stop("n4")
             fleet.cut.add("dc1")
@@ -423,19 +435,20 @@
             await node.watcher.settled.wait()
             assert node.store.version == 2
 
-        play(scene)
+        run_scenario(scenario)
 
-    @pytest.mark.parametrize("given_bytes", [1_000_000, 10])
-    def test_a_router_restarts_while_the_service_is_down(
-        self, monkeypatch, given_bytes
+    @pytest.mark.parametrize("max_reply_bytes", [1_000_000, 10])
+    def test_a_router_restarts_from_its_peers_while_the_service_is_down(
+        self, monkeypatch, max_reply_bytes
     ):
         """
-        The tables are larger than one answer of a peer, and there is no service to read
-        them from. The router asks on until it has every part.
+        Guards against a router that cannot start while the service is down because the
+        tables exceed one reply of a peer. It must repeat the request until it has every
+        part.
         """
-        monkeypatch.setattr("fulmarroad._acceptance.GIVEN_BYTES", given_bytes)
+        monkeypatch.setattr("fulmarroad._acceptance.MAX_REPLY_BYTES", max_reply_bytes)
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.down = True
             fleet.stop("n4")
             node = fleet.start("n4", "dc1")
@@ -443,20 +456,21 @@
                 await node.watcher.settled.wait()
             assert node.store.version == 1
 
-        play(scene)
+        run_scenario(scenario)
 
 
-class TestSplit:
-    def test_a_data_centre_that_was_cut_off_catches_up(self):
+class TestPartition:
+    def test_a_data_centre_catches_up_after_a_partition(self):
         """
-        A data centre loses the others and the platform while two versions are
-        published. It goes on under the last one, never an older one, and has the newest
-        within seconds of rejoining, the service still down.
+        Guards against a data centre that keeps old tables after a network partition. It
+        is cut off from the others and from the service while two versions are
+        published. It must keep its last version and get the newest one within seconds
+        of reconnecting, although the service is still down.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             fleet.cut.add("dc2")
-            fleet.cut_from_service.add("dc2")
+            fleet.centres_without_service.add("dc2")
             service.publish(2)
             await anyio.sleep(5)
             service.publish(3, weight=3)
@@ -465,36 +479,38 @@
             assert {node.store.version for node in inside} == {1}
             service.down = True
             fleet.cut.clear()
-            assert await fleet.until(3, within=5) < 5
+            assert await fleet.wait_for_version(3, within=5) < 5
 
-        play(scene)
+        run_scenario(scenario)
 
-    def test_a_router_that_starts_inside_a_split_serves_with_its_own_side(self):
+    def test_a_router_restarted_in_a_partition_uses_the_tables_of_its_side(self):
         """
-        A router restarts in a data centre that is cut off from all else. It serves
-        under what its neighbours have; waiting for the rest would cost callers there.
+        Guards against a router that never serves because it restarts in a data centre
+        that is cut off from all others. It must use the tables of the routers that it
+        can reach.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             fleet.cut.add("dc2")
-            fleet.cut_from_service.add("dc2")
+            fleet.centres_without_service.add("dc2")
             fleet.stop("n2")
             node = fleet.start("n2", "dc2")
             with anyio.fail_after(10):
                 await node.watcher.settled.wait()
             assert node.store.version == 1
 
-        play(scene)
+        run_scenario(scenario)
 
 
-class TestPeers:
+class TestInvalidPeerTables:
     """
-    A peer of another release, or one with damaged memory, gives wrong tables. They are
-    not taken, the asking router goes on, and it doesn't ask that peer without end.
+    Guards against accepting invalid tables from a peer of another release or with
+    corrupted memory. The asking router must refuse them, keep running, and not repeat
+    the request without a pause.
     """
 
     @pytest.mark.parametrize("damage", ["parts", "manifest", "nothing"])
-    def test_wrong_tables_of_a_peer_are_not_taken(self, monkeypatch, damage):
+    def test_invalid_tables_of_a_peer_are_refused(self, monkeypatch, damage):
         asked = Counter()
         give = TableStore.give
 
@@ -506,7 +522,7 @@
                 return evolve(given, manifest=b"version = ")
             return evolve(given, parts=parts if damage == "parts" else {})
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.down = True
             monkeypatch.setattr(TableStore, "give", wrong)
             fleet.stop("n4")
@@ -515,26 +531,26 @@
             assert node.store.version == 0
             assert asked["times"] < 10 / 0.25 * 5 + 10 / 0.5 * 9
             monkeypatch.undo()
-            await fleet.until(1, within=5)
+            await fleet.wait_for_version(1, within=5)
 
-        play(scene)
+        run_scenario(scenario)
 
 
-class TestStart:
-    def test_a_wholly_new_fleet_settles(self):
+class TestStartup:
+    def test_a_new_fleet_becomes_ready(self):
         """
-        Every router starts at once with no memory. Each waits for peers that know
-        nothing either; were that wait without end, nobody would ever serve.
+        Guards against a fleet that never serves because all routers start at the same
+        time without tables and wait for each other.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             with anyio.fail_after(4):
                 for node in fleet.nodes.values():
                     await node.watcher.settled.wait()
 
-        play(scene)
+        run_scenario(scenario)
 
-    def test_a_router_without_tables_does_not_settle(self):
+    def test_a_router_without_tables_does_not_become_ready(self):
         async def main():
             async with anyio.create_task_group() as group:
                 fleet = Fleet(group, FakeService(), centres=1, size=1)
@@ -545,59 +561,61 @@
         run_virtually(main)
 
 
-class TestWrongTables:
-    def test_a_bad_table_leaves_the_last_good_one(self, caplog):
+class TestInvalidTables:
+    def test_an_invalid_table_leaves_the_last_valid_one_in_force(self, caplog):
         """
-        Operators publish a data centre's state with a typing error. Nothing changes for
-        callers, each router logs the row and field, and the corrected table is taken.
+        Guards against a typing error in a data centre's state that changes the tables
+        in force. Each router must log the row and field, and accept the corrected
+        table.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, state="off")
             await anyio.sleep(30)
             assert fleet.versions() == {1}
             service.publish(3, state="out")
-            await fleet.until(3, within=5)
+            await fleet.wait_for_version(3, within=5)
 
         with caplog.at_level(logging.INFO):
-            play(scene)
+            run_scenario(scenario)
         rejected = events(caplog, Event.TABLES_REJECTED)
         assert 6 <= len(rejected) <= 9
         assert "data_centre 'north': state: must be" in rejected[0].problems[0]
 
-    def test_other_content_under_the_same_version_is_reported(self, caplog):
+    def test_different_content_under_the_same_version_is_logged(self, caplog):
         """
-        Operators publish version 2 twice. Routers keep the first and say so in an
-        error; were it silent, routers that restart later would differ from the rest.
+        Guards against an unnoticed difference between routers after operators publish
+        two contents as version 2: routers that restart later would get the second
+        content. Running routers must keep the first one and log an error.
         """
 
-        async def scene(fleet, service):
+        async def scenario(fleet, service):
             service.publish(2, weight=2)
-            await fleet.until(2, within=5)
+            await fleet.wait_for_version(2, within=5)
             service.publish(2, weight=9)
             await anyio.sleep(100)
             for node in fleet.nodes.values():
                 assert node.store.in_force.workspaces["atlas"].weight == 2
 
         with caplog.at_level(logging.INFO):
-            play(scene)
+            run_scenario(scenario)
         assert len(events(caplog, Event.TABLES_CONFLICT)) == 9
 
-    def test_a_change_is_in_the_audit_trail(self):
-        async def scene(fleet, service):
+    def test_a_change_is_recorded_in_the_audit_trail(self):
+        async def scenario(fleet, service):
             service.publish(2, state="out")
-            await fleet.until(2, within=5)
+            await fleet.wait_for_version(2, within=5)
             rows = fleet.nodes["n0"].audit.since(0)
             row = next(row for row in rows if row.name == "data_centre north state")
             assert row.subject is Subject.TABLES
             assert (row.before, row.after, row.version) == ("in", "out", 2)
-            assert fleet.nodes["n0"].taken[-1].version == 2
+            assert fleet.nodes["n0"].applied_tables[-1].version == 2
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class TestBackoff:
-    def test_grows_to_its_cap_and_begins_anew(self):
+    def test_delay_grows_to_its_cap_and_resets(self):
         backoff = Backoff(random.Random(1), 0.5, 4.0)
         ceilings = [0.5, 1.0, 2.0, 4.0, 4.0]
         assert all(0 <= backoff.next() <= ceiling for ceiling in ceilings)
@@ -607,7 +625,7 @@
 
 
 class TestVmList:
-    def test_reads_a_list(self):
+    def test_parses_a_vm_list(self):
         listing = parse_vm_list(VMS + b'state = "leaving"\n')
         assert listing.entries[0].leaving
         assert listing.entries[0].router == "n0"
@@ -622,7 +640,7 @@
             (b"gossip_port = 2", b"gossip = 2", "vm 'n0': gossip: is no field"),
         ],
     )
-    def test_names_row_and_field_of_a_fault(self, old, new, expected):
+    def test_error_names_row_and_field(self, old, new, expected):
         with pytest.raises(ConfigurationError) as caught:
             parse_vm_list(VMS.replace(old, new))
         assert any(expected in problem for problem in caught.value.problems)
--- a/packages/fulmarroad/tests/test_events.py
+++ b/packages/fulmarroad/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Each event and metric is in its catalogue, and each event is logged somewhere."""
+"""Tests that the event and metric pages match the code and every event is logged."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     for path in sorted(ROOT.glob("packages/*/src/**/*.py"))
     if path.name != "events.py"
 ]
-METRIC = r"\.(incr|gauge|timing)\(\s*(f?)\"([^\"]+)\""
-KINDS = {"incr": "counter", "gauge": "gauge", "timing": "timing"}
+METRIC_CALL = r"\.(incr|gauge|timing)\(\s*(f?)\"([^\"]+)\""
+METRIC_TYPES = {"incr": "counter", "gauge": "gauge", "timing": "timing"}
 
 
 def rows(page, columns):
-    """Return the rows of a page's table, without its head."""
+    """Return the rows of a page's table, without the header row."""
     lines = (ROOT / "docs" / page).read_text().splitlines()
     cells = [line.strip("| ").split(" | ") for line in lines if line.startswith("| ")]
     assert all(len(row) == columns for row in cells)
@@ -44,31 +44,37 @@
         assert [row[:4] for row in rows("EVENTS.md", 5)] == expected
         assert all(row[4] for row in rows("EVENTS.md", 5))
 
-    def test_a_number_is_used_once(self):
+    def test_numbers_are_unique_and_never_reused(self):
         numbers = [event.value.number for event in Event]
         assert numbers == sorted(set(numbers))
         assert not {401, 507} & set(numbers)
 
     @pytest.mark.parametrize("event", list(Event), ids=lambda event: event.name)
-    def test_each_is_logged_somewhere(self, event):
+    def test_every_event_is_logged_somewhere(self, event):
         assert any(re.search(rf"\bEvent\.{event.name}\b", text) for text in SOURCES)
 
 
 class TestMetricsPage:
     def test_lists_every_metric_and_no_other(self):
-        used = {
-            (re.sub(r"\{[^}]*\}", "*", name) if is_format else name, KINDS[verb])
+        emitted = {
+            (
+                re.sub(r"\{[^}]*\}", "*", name) if is_format else name,
+                METRIC_TYPES[method],
+            )
             for text in SOURCES
-            for verb, is_format, name in re.findall(METRIC, text)
+            for method, is_format, name in re.findall(METRIC_CALL, text)
         }
         listed = [(row[0].strip("`"), row[1]) for row in rows("METRICS.md", 4)]
-        assert sorted(listed) == sorted(used)
+        assert sorted(listed) == sorted(emitted)
 
 
 class TestRoleEvents:
     def test_settling_and_shares_of_lost_routers_are_logged_once(self, caplog):
-        """Routers of a data centre are lost. Their units are unused at first and taken
-        up one by one later; operators should see that once and not for each."""
+        """
+        Guards against one log line per unit when routers of a data centre are lost.
+        Their units are unused at first and are then reassigned one by one; operators
+        should see a single event.
+        """
         caplog.set_level(logging.INFO)
         servers = (BackendServer("s1", "127.0.0.1:1", "dc"),)
         pool = Pool("chat", max_concurrency=8, cold_concurrency=8, servers=servers)
