--- a/packages/fulmarroad/src/fulmarroad/_concurrency.py
+++ b/packages/fulmarroad/src/fulmarroad/_concurrency.py
@@ -1,16 +1,16 @@
-"""Find how many requests a warm backend server bears at once, from its answers.
-
-Pattern of load: saturation, and a backend server that is slower than its peers. With
-a limit set by hand, one that is too high makes every answer of the server slow and one
-that is too low leaves capacity idle while work waits; an operator would notice tokens
-a second that fall while more requests run, or idle accelerators beside a queue.
-
-An engine's answers come as fast as ever until its batch is full; past it each further
-request slows all the others, and some engines lose throughput as a whole. So the limit
-is moved by trials: what n requests took at one limit is compared with what they took
-at the other, by Little's law. A higher limit is kept only where throughput rose, a
-lower one where it hardly fell. Comparing a server with itself alone keeps a slow server
-at its own best: lowering its limit would not make its answers faster.
+"""Concurrency limit of a warm backend server, derived from its answers.
+
+It is built for saturation and for backend servers that are slower than their peers. A
+fixed limit that is too high makes all answers of the server slow, and one that is too
+low leaves capacity idle while requests wait; operators would see throughput fall while
+more requests run, or idle accelerators next to a queue.
+
+The speed of an engine's answers is constant until its batch is full. Beyond it each
+further request slows down all others, and some engines lose total throughput. So the
+limit is adjusted by trials, which compare the throughput at two limits by Little's
+law. A higher limit is kept only if throughput rose, a lower one if it hardly fell. A
+server is compared only with itself, so a slow server keeps its own best limit:
+lowering the limit would not make its answers faster.
 """
 
 from __future__ import annotations
@@ -20,61 +20,92 @@
 from fulmarroad._tables import Pool, PoolKind
 
 MIN_GAIN = 0.4
-"""Part of a limit's rise that throughput must follow. Below the knee it follows
-wholly, past it not at all; near the middle noise of either sign errs least. A little
-below it, as a limit too low idles capacity and one too high only delays."""
+"""Least relative gain in throughput at which a higher limit is kept.
+
+The gain is 1 below the knee, where the batch is full, and 0 above it, so a threshold
+near the middle is least sensitive to noise. It is a little lower, because a limit that
+is too low leaves capacity idle and one that is too high only adds delay.
+"""
 
 MAX_LOSS = 0.25
-"""Part of a limit's fall that throughput may follow for the lower one to be kept. Less
-than `MIN_GAIN`, so that noise ends above the knee rather than below it."""
+"""Relative loss of throughput below which a lower limit is kept.
+
+It is less than `MIN_GAIN`, so that noise leaves the limit above the knee rather than
+below it.
+"""
+
+MAX_SLOW_LOSS = 0.7
+"""Relative loss of throughput below which a lower limit is kept when answers are slow.
+
+From this loss on the answers hardly became faster. The server is then slow at any
+limit and keeps its best one.
+"""
+
+PROBE_DIVISOR = 8
+"""Divisor of the limit that gives the step of a first trial.
+
+The effect of smaller steps is lost in noise. Larger ones step over the knee and cost
+more while they last.
+"""
 
-FUTILE = 0.7
-"""Part of a limit's fall that throughput may follow when answers are slow. Above it
-the answers became hardly faster: the server is slow by itself and keeps its best."""
+CLIMB_DIVISOR = 4
+"""Divisor of the limit for the larger step after a success or because of slow answers.
 
-PROBE_PART = 8
-"""A probe moves the limit by one in so many. Smaller steps drown in noise, larger ones
-step over the knee and cost more while they last."""
+With it the limit rises from a quarter of the knee to the knee in seven rounds.
+"""
 
-CLIMB_PART = 4
-"""After a step that paid off the next one is larger, as is a fall for slow answers:
-from a quarter of the knee to it takes seven rounds."""
+FULL_USE_DIVISOR = 8
+"""Divisor of the usable units that gives how many may be free in full use.
 
-FULL_PART = 8
-"""A limit counts as in full use while one unit in so many is free: answers that end
-together are seen before what follows them has begun."""
+Answers that end together are seen before the next requests begin.
+"""
 
-DECREASE = 0.7
-"""Factor on errors and timeouts: halving would leave a server that met one bad caller
-half idle, 0.9 would need seven rounds to come down from twice the bearable load."""
+FAILURE_FACTOR = 0.7
+"""Factor applied to the limit on errors and timeouts.
+
+0.5 would leave a server half idle because of one bad caller. 0.9 would need seven
+rounds to come down from twice the load that the server can bear.
+"""
 
 SLOW_SHARE = 0.25
-"""Share of slow answers in a round that lowers the limit. The service objective is
-for 95 in 100, but a round may be as short as eight answers, where one is noise."""
+"""Share of slow answers in a round that makes the round slow.
+
+The service objective is for 95 in 100 answers, but a round may have only eight, of
+which one slow answer is noise.
+"""
 
 MIN_ROUND = 8
-"""Answers in the shortest round; fewer would judge a limit by single requests."""
+"""Least answers in a round; with fewer, single requests would decide on a limit."""
 
 HOLD_ROUNDS = 16
-"""Rounds between a failed trial and the next one. A failed trial costs about a seventh
-of two rounds' work: less than 2% of sixteen."""
+"""Rounds between a failed trial and the next one.
 
-MOST_HOLD_ROUNDS = 64
-"""Hold after several failed trials; at two seconds an answer two minutes, in which a
-server that became faster again is found."""
+A failed trial costs about a seventh of the work of two rounds, less than 2% of the
+work of sixteen.
+"""
 
-CHANGED = 1.25
-"""Factor by which throughput at one limit must change for a hold to end at once: the
-server is another one now. More than any failed trial's noise."""
+MAX_HOLD_ROUNDS = 64
+"""Greatest number of rounds between trials, reached after several failed ones.
 
-TOKENS_GAIN = 0.05
-"""Gain of the mean length of answers: about the last twenty count."""
+At two seconds per answer these are two minutes, after which a server that became
+faster is detected.
+"""
+
+CHANGE_FACTOR = 1.25
+"""Factor of change in throughput at one limit that ends a hold at once.
+
+Such a change means that the server itself has changed. The factor is above the noise
+of any failed trial.
+"""
+
+MEAN_TOKENS_GAIN = 0.05
+"""Weight of the newest answer in the mean length: about the last twenty count."""
 
 
 def latency_ratio(
     pool: Pool, first_s: float | None, gap_s: float | None
 ) -> float | None:
-    """Return the worse of an answer's times as a multiple of the pool's targets."""
+    """Return the greater ratio of an answer's times to the pool's targets, if known."""
     parts = []
     if first_s is not None:
         parts.append(first_s / pool.first_token_target_s)
@@ -84,17 +115,18 @@
 
 
 def is_fully_used(running: int, usable: int) -> bool:
-    """Tell whether a server ran about all that it might."""
-    return running >= usable - usable // FULL_PART
+    """Return whether about all usable units of a server were in use."""
+    return running >= usable - usable // FULL_USE_DIVISOR
 
 
 @define
 class AnswerTimes:
-    """Turn an answer's times into the seconds that one token of it took.
+    """Convert the times of an answer into seconds per token.
 
-    Answers differ in length by far more than a trial changes their speed. The time
-    to the first token counts too, spread over an answer of mean length: some engines
-    queue past their batch, so that gaps stay short and first tokens come late.
+    The length of answers varies by far more than a trial changes their speed. The
+    time to the first token is included, divided by the mean answer length: some
+    engines queue requests beyond their batch, so that the gaps between tokens stay
+    short and only the first tokens are late.
     """
 
     pool: Pool
@@ -103,12 +135,12 @@
     def seconds(
         self, first_s: float | None, gap_s: float | None, service: float
     ) -> float | None:
-        """Return the seconds for a token, or of a plain answer, if they were seen."""
+        """Return the seconds per token, or per answer of a plain pool, if known."""
         if self.pool.kind is PoolKind.PLAIN:
             return first_s
         if self._tokens is None:
             self._tokens = service
-        self._tokens += TOKENS_GAIN * (service - self._tokens)
+        self._tokens += MEAN_TOKENS_GAIN * (service - self._tokens)
         if gap_s is None:
             return None
         return gap_s + (first_s or 0.0) / max(1.0, self._tokens)
@@ -116,7 +148,7 @@
 
 @define
 class Round:
-    """Collect answers at one limit, without the `skip` that began before it."""
+    """Collect answers at one limit without the first `skip`, which began before it."""
 
     skip: int = 0
     answers: int = 0
@@ -127,39 +159,39 @@
 
     @property
     def throughput(self) -> float | None:
-        """Return the tokens or plain answers a second that the server gave, if seen."""
+        """Return the tokens, or plain answers, per second of the server, if known."""
         return self._running / self._seconds if self._seconds > 0 else None
 
     @property
     def was_full(self) -> bool:
-        """Tell whether the limit was in full use for at least half of the round."""
+        """Return whether the limit was in full use for at least half of the answers."""
         return 2 * self.full >= self.answers
 
     @property
     def was_slow(self) -> bool:
-        """Tell whether too many answers missed the pool's targets."""
+        """Return whether too many answers missed the pool's targets."""
         return self.slow >= SLOW_SHARE * self.answers
 
     def note(self, running: int, seconds: float | None, slow: bool, full: bool) -> None:
-        """Add an answer; `running` counts what ran, with it."""
+        """Add an answer; `running` is the number of requests including this one."""
         if self.skip > 0:
             self.skip -= 1
             return
         self.answers += 1
         self.slow += slow
         self.full += full
-        if seconds is not None and full:  # else `running` says little of its life
+        if seconds is not None and full:  # else `running` may have varied
             self._running += max(1, running)
             self._seconds += seconds
 
 
-def followed(
+def relative_gain(
     low: int, low_throughput: float | None, high: int, high_throughput: float | None
 ) -> float:
-    """Return how far throughput follows from a lower limit to a higher one.
+    """Return the relative rise of throughput divided by that of the limit.
 
-    1 is in proportion, 0 not at all; 1 too where it was not seen, so that the pool's
-    targets alone decide.
+    1 means that throughput rose in proportion to the limit, 0 that it didn't rise. 1
+    is also returned if a throughput is unknown, so that only the pool's targets count.
     """
     if not low_throughput or not high_throughput or high <= low:
         return 1.0
@@ -168,15 +200,15 @@
 
 @define
 class _Trial:
-    limit: int  # to go back to
+    limit: int  # limit to restore on failure
     throughput: float | None
-    part: int
+    divisor: int
     for_slowness: bool
 
 
 @define
 class ConcurrencyLimit:
-    """Hold the limit of one warm backend server and move it by trials."""
+    """Hold the concurrency limit of a warm backend server and adjust it by trials."""
 
     pool: Pool
     limit: int
@@ -186,115 +218,120 @@
     _next_hold: int = field(default=HOLD_ROUNDS, init=False)
     _down_next: bool = field(default=False, init=False)
     _slow_rounds: int = field(default=0, init=False)
-    _slow_by_itself: bool = field(default=False, init=False)
-    _usual: float | None = field(default=None, init=False)  # throughput on hold
+    _slow_at_any_limit: bool = field(default=False, init=False)
+    _hold_throughput: float | None = field(default=None, init=False)
 
     def restart(self, limit: int, running: int, *, hold: bool = False) -> None:
-        """Begin anew at a limit found otherwise; with `hold` don't try at once.
+        """Restart at a given limit; with `hold` delay the first trial.
 
-        What runs now began under another limit and won't count.
+        Running requests began under another limit, so their answers don't count.
         """
         self._trial = None
         self._next_hold = HOLD_ROUNDS
         self._hold = HOLD_ROUNDS if hold else 0
-        self._usual = None
-        self._set(limit, running)
+        self._hold_throughput = None
+        self._set_limit(limit, running)
 
     def note_failure(self, running: int) -> None:
-        """Lower the limit for an error or a timeout, once for what runs now."""
+        """Lower the limit for an error or timeout, once for all running requests."""
         if self._round.skip > 0:
             return
-        self.restart(int(self.limit * DECREASE), running, hold=True)
+        self.restart(int(self.limit * FAILURE_FACTOR), running, hold=True)
 
     def note_answer(
         self, running: int, seconds: float | None, slow: bool, full: bool
     ) -> None:
-        """Count one answer; `full` says that the limit was in full use."""
+        """Add one answer; `full` means that the limit was in full use."""
         self._round.note(running, seconds, slow, full)
         if self._round.answers >= max(MIN_ROUND, self.limit):
             self._end_round(running)
 
     def _end_round(self, running: int) -> None:
-        done = self._round
+        finished = self._round
         trial, self._trial = self._trial, None
-        self._slow_rounds = self._slow_rounds + 1 if done.was_slow else 0
+        self._slow_rounds = self._slow_rounds + 1 if finished.was_slow else 0
         if trial is not None:
-            self._judge(trial, done, running)
-        elif not done.was_full:
-            self._set(self.limit, 0)
-        elif self._must_wait(done):
+            self._end_trial(trial, finished, running)
+        elif not finished.was_full:
+            self._set_limit(self.limit, 0)
+        elif self._is_on_hold(finished):
             self._hold -= 1
-            self._set(self.limit, 0)
+            self._set_limit(self.limit, 0)
         else:
-            self._try(done, running)
+            self._start_trial(finished, running)
 
-    def _must_wait(self, done: Round) -> bool:
+    def _is_on_hold(self, finished: Round) -> bool:
         if self._hold == 0 or self._too_slow():
             return False
-        return not self._has_changed(done)
+        return not self._has_changed(finished)
 
     def _too_slow(self) -> bool:
-        # The first slow round may have begun fast: nothing can be compared with it.
-        return self._slow_rounds >= 2 and not self._slow_by_itself
+        # The first slow round may have begun fast, so it can't serve as a comparison.
+        return self._slow_rounds >= 2 and not self._slow_at_any_limit
 
-    def _has_changed(self, done: Round) -> bool:
-        usual, seen = self._usual, done.throughput
-        if usual is None or seen is None:
-            self._usual = seen
+    def _has_changed(self, finished: Round) -> bool:
+        expected, measured = self._hold_throughput, finished.throughput
+        if expected is None or measured is None:
+            self._hold_throughput = measured
             return False
-        slower, faster = seen * CHANGED < usual, seen > usual * CHANGED
+        slower, faster = (
+            measured * CHANGE_FACTOR < expected,
+            measured > expected * CHANGE_FACTOR,
+        )
         if not (slower or faster):
             return False
         self._next_hold = HOLD_ROUNDS
         self._down_next = slower
         return True
 
-    def _try(self, done: Round, running: int, part: int = PROBE_PART) -> None:
+    def _start_trial(
+        self, finished: Round, running: int, divisor: int = PROBE_DIVISOR
+    ) -> None:
         if self._down_next:
-            self._slow_by_itself = False  # see again whether a lower limit helps
+            self._slow_at_any_limit = False  # test a lower limit again
         too_slow = self._too_slow()
         if too_slow:
-            part = CLIMB_PART
-        self._trial = _Trial(self.limit, done.throughput, part, too_slow)
-        step = max(1, self.limit // part)
+            divisor = CLIMB_DIVISOR
+        self._trial = _Trial(self.limit, finished.throughput, divisor, too_slow)
+        step = max(1, self.limit // divisor)
         down = too_slow or self._down_next
-        self._set(self.limit - step if down else self.limit + step, running)
+        self._set_limit(self.limit - step if down else self.limit + step, running)
         if self.limit == self._trial.limit:
             self._down_next = not down
-            self._go_back(self._trial.limit, running)
+            self._restore_limit(self._trial.limit, running)
 
-    def _judge(self, trial: _Trial, done: Round, running: int) -> None:
-        if not done.was_full or not self._is_better(trial, done):
-            self._fail(trial, running)
+    def _end_trial(self, trial: _Trial, finished: Round, running: int) -> None:
+        if not finished.was_full or not self._is_better(trial, finished):
+            self._reject_trial(trial, running)
             return
         self._next_hold = HOLD_ROUNDS
         self._down_next = self.limit < trial.limit
-        self._try(done, running, CLIMB_PART)
+        self._start_trial(finished, running, CLIMB_DIVISOR)
 
-    def _fail(self, trial: _Trial, running: int) -> None:
-        self._slow_by_itself = self._slow_by_itself or trial.for_slowness
+    def _reject_trial(self, trial: _Trial, running: int) -> None:
+        self._slow_at_any_limit = self._slow_at_any_limit or trial.for_slowness
         self._down_next = self.limit > trial.limit
-        climbed = trial.part == CLIMB_PART and not trial.for_slowness
-        if climbed and trial.limit > CLIMB_PART:
-            self._set(trial.limit, running)  # a smaller step may still pay off
+        climbed = trial.divisor == CLIMB_DIVISOR and not trial.for_slowness
+        if climbed and trial.limit > CLIMB_DIVISOR:
+            self._set_limit(trial.limit, running)  # a smaller step may still pay off
         else:
-            self._go_back(trial.limit, running)
+            self._restore_limit(trial.limit, running)
 
-    def _is_better(self, trial: _Trial, done: Round) -> bool:
-        before, after = trial.throughput, done.throughput
+    def _is_better(self, trial: _Trial, finished: Round) -> bool:
+        before, after = trial.throughput, finished.throughput
         if self.limit > trial.limit:
-            gain = followed(trial.limit, before, self.limit, after)
+            gain = relative_gain(trial.limit, before, self.limit, after)
             return gain >= MIN_GAIN and not self._too_slow()
-        loss = followed(self.limit, after, trial.limit, before)
-        return loss < (FUTILE if trial.for_slowness else MAX_LOSS)
+        loss = relative_gain(self.limit, after, trial.limit, before)
+        return loss < (MAX_SLOW_LOSS if trial.for_slowness else MAX_LOSS)
 
-    def _go_back(self, limit: int, running: int) -> None:
+    def _restore_limit(self, limit: int, running: int) -> None:
         self._trial = None
         self._hold = self._next_hold
-        self._next_hold = min(2 * self._next_hold, MOST_HOLD_ROUNDS)
-        self._usual = None
-        self._set(limit, running)
+        self._next_hold = min(2 * self._next_hold, MAX_HOLD_ROUNDS)
+        self._hold_throughput = None
+        self._set_limit(limit, running)
 
-    def _set(self, limit: int, skip: int) -> None:
+    def _set_limit(self, limit: int, skip: int) -> None:
         self.limit = max(1, min(limit, self.pool.max_concurrency))
         self._round = Round(skip)
--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -1,14 +1,16 @@
-"""One fair queue for a shard: the backlogged workspace with the least service next.
-
-Load it answers: one workspace that floods, few workspaces that take most of the
-load, long requests among short ones, saturation. Without it whoever asks most is
-served most, and a small workspace waits behind a large one's whole backlog; an
-operator would notice by waits that differ between workspaces of equal weight.
-
-Each workspace has a counter of the service it received divided by its weight. The
-cost of a request is known only at its end, so a grant charges an estimate that
-reports replace. Counters are compared only between backlogged workspaces; one that
-returns from idle is lifted to the least of them, so that idle time earns no credit.
+"""Weighted fair queue of a shard, which serves the least served workspace next.
+
+It is built for a workspace that floods, a few workspaces that cause most of the load,
+long requests among short ones, and saturation. Without it the workspace that sends
+most requests gets most service, and a small workspace waits behind the whole backlog
+of a large one; operators would see waits that differ between workspaces of equal
+weight.
+
+Each workspace has a counter: the service it received divided by its weight. The cost
+of a request is known only at its end, so a grant charges an estimate, which progress
+and final reports replace. Only counters of backlogged workspaces are compared. The
+counter of a workspace that returns from idle is raised to the least of them, so that
+idle time earns no credit.
 """
 
 from __future__ import annotations
@@ -25,36 +27,39 @@
 from fulmarroad._messages import Demand
 from fulmarroad.types import RouterName, WorkspaceName
 
-MEAN_STEP = 0.1
+COST_MEAN_GAIN = 0.1
 """Weight of the newest cost in the running mean of a workspace's costs.
 
-About the last ten requests count: fewer would let one short answer hide a flood of
-long ones, many more would remember yesterday's traffic.
+0.1 covers about the last ten requests. With fewer, one short answer would hide a
+flood of long ones; with many more, the mean would reflect yesterday's traffic.
 """
 
-REPAY = 1.0
-"""Surcharge on a grant while service told late is still owed, per unit charged.
+DEBT_SURCHARGE = 1.0
+"""Debt repaid with each grant, per service unit that the grant charges.
 
-At 1 a workspace keeps half of its fair share until the debt is paid. A larger
-surcharge closes the gap sooner and serves it less meanwhile.
+The debt is service that another scheduler reported late. At 1 a workspace keeps half
+of its fair share until the debt is repaid. A larger surcharge closes the gap sooner
+but leaves the workspace a smaller share meanwhile.
 """
 
-IDLE_S = 60.0
-"""Service of a workspace that asked for nothing this long is no longer held against
-it: longer than nearly every request, so that it can't be gained by."""
+IDLE_FORGET_S = 60.0
+"""Seconds without a new demand after which the service of a workspace is forgotten.
+
+It is longer than nearly every request, so that a workspace can't gain by pausing.
+"""
 
 HEAP_SLACK = 64
-"""Stale heap entries kept beyond four for each backlogged workspace."""
+"""Heap entries allowed beyond four per backlogged workspace before a rebuild."""
 
 
 def sanitize(value: float) -> float:
-    """Return a reported amount, or 0 for one that no honest peer sends."""
+    """Return a reported amount, or 0 if it is negative or not finite."""
     return value if math.isfinite(value) and value > 0 else 0.0
 
 
 @define(eq=False)
 class Waiting:
-    """Hold a demand that waits; times are on the scheduler's clock."""
+    """Hold a waiting demand; times are on the scheduler's clock, in seconds."""
 
     demand: Demand
     router: RouterName
@@ -65,14 +70,14 @@
 Eligible = Callable[[Waiting], bool]
 
 
-def anything(waiting: Waiting) -> bool:
-    """Hold every demand eligible."""
+def any_demand(waiting: Waiting) -> bool:
+    """Return true for every demand."""
     return True
 
 
 @define(eq=False)
 class Charge:
-    """Hold what one lease has been charged so far, in service units."""
+    """Hold the service units charged so far for one lease."""
 
     workspace: WorkspaceName
     weight: float
@@ -85,51 +90,52 @@
 class Account:
     """Hold the service of one workspace and its waiting demands.
 
-    The counter is the sum of two parts: what was charged before the workspace last
-    returned from idle, lifted to `floor`, and what was charged since. They are kept
-    apart since a lease of an earlier era may be corrected later; such a correction
-    must not sink the workspace below the floor and so turn into credit.
+    An era begins whenever the workspace returns from idle. The counter is the sum of
+    two parts: the service of former eras, raised to `floor`, and the service of the
+    current one. They are separate because the charge of a lease from a former era may
+    be corrected later, and a refund must not lower the counter below the floor and so
+    turn into credit.
     """
 
     name: WorkspaceName
     weight: float = 1.0
-    earlier: float = 0.0
+    prior_service: float = 0.0
     floor: float = 0.0
-    since: float = 0.0
+    era_service: float = 0.0
     era: int = 0
-    began: float = -math.inf
-    asked: float = -math.inf
+    era_start: float = -math.inf
+    last_demand_at: float = -math.inf
     seeded: bool = False
     waiting: list[Waiting] = field(factory=list)
     running: int = 0
-    mean: float | None = None
+    mean_cost: float | None = None
     served: float = 0.0
-    owed: float = 0.0
+    debt: float = 0.0
     active_until: float = -math.inf
     stamp: int = 0
 
     @property
     def counter(self) -> float:
-        """Return the weighted service that the workspace is compared by."""
-        return max(self.earlier, self.floor) + self.since
+        """Return the weighted service by which workspaces are compared."""
+        return max(self.prior_service, self.floor) + self.era_service
 
     def active(self, now: float) -> bool:
-        """Tell whether the workspace is backlogged here or elsewhere in the pool."""
+        """Return whether the workspace is backlogged at any scheduler of the pool."""
         return bool(self.waiting) or self.active_until > now
 
     def reset_to_floor(self, floor: float, now: float) -> None:
-        """Begin a new era at the floor; debts of the former one are forgiven."""
-        self.earlier = self.counter
+        """Begin a new era at the floor and cancel the debt of the former one."""
+        self.prior_service = self.counter
         self.floor = floor
-        self.since = 0.0
-        self.owed = 0.0
+        self.era_service = 0.0
+        self.debt = 0.0
         self.seeded = False
         self.era += 1
-        self.began = now
+        self.era_start = now
 
 
 class WaitingById:
-    """Find waiting demands by id; what every queue of demands has in common."""
+    """Index waiting demands by id; the base class of all demand queues."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, Waiting] = {}
@@ -148,7 +154,7 @@
         return self._waiting.get(demand_id)
 
     def add(self, demand: Demand, router: RouterName, now: float) -> bool:
-        """Queue a demand by its original arrival; return false if it waits already."""
+        """Queue a demand by its original arrival; return false if it is queued."""
         arrival = now - sanitize(demand.waited_s)
         deadline = now + sanitize(demand.remaining_s)
         return self.restore(Waiting(demand, router, arrival, deadline), now)
@@ -159,7 +165,7 @@
 
 
 class FleetQueue(WaitingById):
-    """Serve backlogged workspaces by least service, wherever it was received."""
+    """Serve the workspace with the least service received in the whole pool first."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -167,20 +173,20 @@
         self._heap: list[tuple[float, int, Account]] = []
         self._backlogged: dict[WorkspaceName, Account] = {}
         self._remote: dict[WorkspaceName, Account] = {}
-        self._passed: dict[WorkspaceName, Waiting] = {}
+        self._skipped: dict[WorkspaceName, Waiting] = {}
         self._stamps = itertools.count(1)
-        self._reached = 0.0
-        self._mean = 0.0
+        self._highest_served = 0.0
+        self._mean_cost = 0.0
 
     @property
     def reports_totals(self) -> bool:
-        """Tell that totals and moves between shards apply to this policy."""
+        """Return true: this policy uses service totals and moves between shards."""
         return True
 
     @property
     def mean_cost(self) -> float:
-        """Return the running mean of every request's cost, 0 while none is known."""
-        return self._mean
+        """Return the running mean cost of all requests, or 0 if none has ended."""
+        return self._mean_cost
 
     def restore(self, waiting: Waiting, now: float) -> bool:
         """Queue a demand that waited before, at its old place."""
@@ -191,7 +197,7 @@
         account.weight = sanitize(demand.weight) or 1.0
         if not account.active(now):
             account.reset_to_floor(self._floor(now), now)
-        account.asked = now
+        account.last_demand_at = now
         insort(account.waiting, waiting, key=attrgetter("arrival"))
         self._waiting[demand.demand_id] = waiting
         if len(account.waiting) == 1:
@@ -200,7 +206,7 @@
         return True
 
     def remove(self, demand_id: str) -> Waiting | None:
-        """Take a demand out of the queue; return none if it does not wait."""
+        """Remove a demand and return it, or none if it is not queued."""
         waiting = self._waiting.pop(demand_id, None)
         if waiting is None:
             return None
@@ -208,66 +214,67 @@
         account.waiting.remove(waiting)
         if not account.waiting:
             del self._backlogged[account.name]
-        if self._passed.get(account.name) is waiting:
-            del self._passed[account.name]
+        if self._skipped.get(account.name) is waiting:
+            del self._skipped[account.name]
         return waiting
 
-    def pop(self, eligible: Eligible = anything, now: float = 0.0) -> Waiting | None:
-        """Take the next demand that is eligible, or none.
+    def pop(self, eligible: Eligible = any_demand, now: float = 0.0) -> Waiting | None:
+        """Remove and return the next eligible demand, or none.
 
-        A demand whose turn came while no backend server could take it is served
-        first once one can: otherwise a demand that only one server fits would wait
-        for its turn and that server's free unit to coincide, perhaps forever.
+        A demand that was skipped because no backend server could serve it goes first
+        as soon as one can. Otherwise a demand that only one server can serve might
+        wait forever for its turn and a free unit of that server to coincide.
         """
-        found = self._pop_passed(eligible) or self._pop_least(eligible)
+        found = self._pop_skipped(eligible) or self._pop_least(eligible)
         if found is None:
             return None
         self.remove(found.demand.demand_id)
-        self._reached = max(
-            self._reached, self._accounts[found.demand.workspace].counter
+        self._highest_served = max(
+            self._highest_served, self._accounts[found.demand.workspace].counter
         )
         return found
 
     def begin(self, waiting: Waiting) -> Charge:
-        """Charge the estimate for a demand that is granted."""
+        """Charge the estimated cost of a demand that is being granted."""
         demand = waiting.demand
         account = self.account(demand.workspace)
         account.running += 1
         charge = Charge(account.name, account.weight, account.era, 0.0)
         self._add(charge, self._estimate(account, demand.cost_hint))
-        repaid = min(account.owed, REPAY * charge.amount / charge.weight)
-        account.owed -= repaid
-        account.since += repaid
+        repayment = min(account.debt, DEBT_SURCHARGE * charge.amount / charge.weight)
+        account.debt -= repayment
+        account.era_service += repayment
         return charge
 
     def adopt(self, workspace: WorkspaceName, charged: float) -> Charge:
-        """Take over a lease that another scheduler granted, with what it used.
+        """Take over a lease that another scheduler granted, with the service it used.
 
-        What it used is not told as served here: the former epoch told it already.
+        That service is not reported as served here, because the former epoch has
+        reported it already.
         """
         account = self.account(workspace)
         account.running += 1
         amount = sanitize(charged)
-        account.since += amount / account.weight
+        account.era_service += amount / account.weight
         return Charge(workspace, account.weight, account.era, amount, amount)
 
     def progress(self, charge: Charge, service: float) -> None:
-        """Note service used; what goes beyond the estimate is charged at once."""
+        """Record service used and charge what exceeds the estimate at once."""
         charge.reported += sanitize(service)
         self._add(charge, max(0.0, charge.reported - charge.amount))
 
     def finish(self, charge: Charge, service: float, *, learn: bool = True) -> None:
-        """Replace what was charged by the whole cost of an ended lease."""
+        """Replace the charge of an ended lease by its actual cost."""
         total = sanitize(service)
         account = self.account(charge.workspace)
         account.running = max(0, account.running - 1)
         self._add(charge, total - charge.amount)
         if learn and total:
-            account.mean = _mean(account.mean, total)
-            self._mean = _mean(self._mean or None, total)
+            account.mean_cost = _update_mean(account.mean_cost, total)
+            self._mean_cost = _update_mean(self._mean_cost or None, total)
 
     def account(self, workspace: WorkspaceName) -> Account:
-        """Return the account of a workspace, new if it is not known."""
+        """Return the account of a workspace; create it if it does not exist."""
         account = self._accounts.get(workspace)
         if account is None:
             account = self._accounts[workspace] = Account(workspace)
@@ -278,20 +285,20 @@
         return sorted(self._backlogged.values(), key=attrgetter("counter"))
 
     def backlogged_elsewhere(self, now: float) -> list[Account]:
-        """Return the accounts that wait at other shards only."""
+        """Return the accounts whose demands wait only at other schedulers."""
         rows = self._remote.values()
         return [row for row in rows if row.active_until > now and not row.waiting]
 
     def ahead(self) -> int:
         """Return how many demands are served before that of a new workspace.
 
-        It is lifted to the least counter, so each backlogged workspace goes first
-        about once, however long its own line is.
+        A new workspace starts at the least counter, so each backlogged workspace is
+        served about once before it, however long its own backlog is.
         """
         return len(self._backlogged)
 
     def mark_active(self, account: Account, until: float) -> None:
-        """Note that a workspace is backlogged at another scheduler until a time."""
+        """Record until when a workspace counts as backlogged at another scheduler."""
         account.active_until = max(account.active_until, until)
         self._remote[account.name] = account
 
@@ -301,32 +308,36 @@
         return None if account is None else account.counter
 
     def add_remote(self, account: Account, service: float) -> None:
-        """Count weighted service that another scheduler of the pool gave."""
-        account.since += service
+        """Add weighted service received from another scheduler of the pool."""
+        account.era_service += service
         if service < 0 and account.waiting:
             self._push(account)
 
     def seed(self, account: Account, counter: float) -> None:
-        """Take a counter from what another scheduler makes of it, once in an era."""
+        """Set a counter from another scheduler's report, once per era."""
         account.seeded = True
         self.add_remote(account, counter - account.counter)
 
-    def reference(self, now: float) -> float:
-        """Return the counter from which lags are told and taken."""
+    def reference_counter(self, now: float) -> float:
+        """Return the counter relative to which lags are sent and received."""
         return self._floor(now)
 
     def forget_idle(self, now: float) -> None:
-        """Drop accounts of idle workspaces; memory stays bounded.
+        """Drop accounts of idle workspaces to bound memory.
 
-        What a lift would make anew goes at once. An account above the floor is held
-        against its workspace for a while, as dropping it forgives that service.
+        An account at or below the highest counter served so far is dropped at once,
+        as a returning workspace would be raised to the floor anyway. A higher one is
+        kept for `IDLE_FORGET_S`, because dropping it forgives that service.
         """
         idle = [
             name
             for name, account in self._accounts.items()
             if not account.active(now)
             and not account.running
-            and (account.counter <= self._reached or now - account.asked > IDLE_S)
+            and (
+                account.counter <= self._highest_served
+                or now - account.last_demand_at > IDLE_FORGET_S
+            )
         ]
         for name in idle:
             del self._accounts[name]
@@ -334,14 +345,14 @@
         self._remote = {name: row for name, row in rows if row.active_until > now}
 
     def _estimate(self, account: Account, hint: float) -> float:
-        """Return what a grant is charged: the hint, but no less than the mean.
+        """Return the charge of a grant: the hint, but no less than the mean cost.
 
         A workspace whose hints are too low would otherwise be granted many units
-        before its first cost is known. One whose hints are too high only holds
-        itself back until the correction.
+        before its first cost is known. Hints that are too high only delay their own
+        workspace until the charge is corrected.
         """
-        usual = self._mean if account.mean is None else account.mean
-        return max(sanitize(hint), usual)
+        mean = self._mean_cost if account.mean_cost is None else account.mean_cost
+        return max(sanitize(hint), mean)
 
     def _add(self, charge: Charge, amount: float) -> None:
         if not amount:
@@ -351,9 +362,9 @@
         weighted = amount / charge.weight
         account.served += weighted
         if charge.era == account.era:
-            account.since += weighted
+            account.era_service += weighted
         else:
-            account.earlier += weighted
+            account.prior_service += weighted
         if amount < 0 and account.waiting:
             self._push(account)
 
@@ -362,26 +373,26 @@
         if min_counter is not None:
             return min_counter
         counters = (row.counter for row in self.backlogged_elsewhere(now))
-        return min(counters, default=self._reached)
+        return min(counters, default=self._highest_served)
 
     def _push(self, account: Account) -> None:
-        """Enter an account into the heap; the entry before it becomes stale."""
+        """Push a new heap entry for an account; its former entry becomes stale."""
         account.stamp = next(self._stamps)
         if len(self._heap) > 4 * len(self._backlogged) + HEAP_SLACK:
-            self._heap = [entry for entry in self._heap if _fresh(entry)]
+            self._heap = [entry for entry in self._heap if _is_current(entry)]
             heapq.heapify(self._heap)
         heapq.heappush(self._heap, (account.counter, account.stamp, account))
 
     def _top(self) -> Account | None:
         """Return the backlogged account with the least counter.
 
-        Counters that rose since their entry was made are entered anew here, so
-        that a charge costs no heap operation.
+        Entries whose counter has risen are replaced here, so that a charge needs no
+        heap operation.
         """
         while self._heap:
             entry = self._heap[0]
             account = entry[2]
-            if not _fresh(entry):
+            if not _is_current(entry):
                 heapq.heappop(self._heap)
             elif account.counter > entry[0]:
                 heapq.heapreplace(self._heap, (account.counter, account.stamp, account))
@@ -389,32 +400,32 @@
                 return account
         return None
 
-    def _pop_passed(self, eligible: Eligible) -> Waiting | None:
-        rows = sorted(self._passed.values(), key=attrgetter("arrival"))
+    def _pop_skipped(self, eligible: Eligible) -> Waiting | None:
+        rows = sorted(self._skipped.values(), key=attrgetter("arrival"))
         return next((row for row in rows if eligible(row)), None)
 
     def _pop_least(self, eligible: Eligible) -> Waiting | None:
-        aside: list[tuple[float, int, Account]] = []
+        set_aside: list[tuple[float, int, Account]] = []
         found = None
         while found is None and (account := self._top()) is not None:
-            found = _first(account, eligible)
+            found = _first_eligible(account, eligible)
             if found is not account.waiting[0]:
-                self._passed.setdefault(account.name, account.waiting[0])
+                self._skipped.setdefault(account.name, account.waiting[0])
             if found is None:
-                aside.append(heapq.heappop(self._heap))
-        for entry in aside:
+                set_aside.append(heapq.heappop(self._heap))
+        for entry in set_aside:
             heapq.heappush(self._heap, entry)
         return found
 
 
-def _first(account: Account, eligible: Eligible) -> Waiting | None:
+def _first_eligible(account: Account, eligible: Eligible) -> Waiting | None:
     return next((row for row in account.waiting if eligible(row)), None)
 
 
-def _fresh(entry: tuple[float, int, Account]) -> bool:
+def _is_current(entry: tuple[float, int, Account]) -> bool:
     account = entry[2]
     return account.stamp == entry[1] and bool(account.waiting)
 
 
-def _mean(mean: float | None, value: float) -> float:
-    return value if mean is None else mean + MEAN_STEP * (value - mean)
+def _update_mean(mean: float | None, value: float) -> float:
+    return value if mean is None else mean + COST_MEAN_GAIN * (value - mean)
--- a/packages/fulmarroad/src/fulmarroad/_slots.py
+++ b/packages/fulmarroad/src/fulmarroad/_slots.py
@@ -1,8 +1,9 @@
-"""Keep the book of one shard's units: which are free, taken, lent, taken up.
+"""Record of a shard's units: which of them are free, in use, or lent.
 
-Pattern of load: saturation. The book is asked after each event which units are free,
-so it keeps an answer for each server and works it out anew only where something
-changed.
+A lost router's units that are used without its lending are called taken up.
+
+The free units are needed after each event, which is often under saturation. They are
+therefore cached for each server and computed again only for servers that changed.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 
 class CapacityError(FulmarroadError):
-    """Refuse to take a unit that is not free."""
+    """Report an attempt to take a unit that is not free."""
 
 
 @frozen
 class FreeUnit:
-    """Offer one unit, with how its backend server stands."""
+    """Hold a free unit and the state of its backend server."""
 
     unit: Unit
     warmth: Warmth
@@ -39,18 +40,18 @@
 class _Lease:
     unit: Unit
     router: RouterName
-    proven: bool = False  # its answer has been judged while it runs
+    judged: bool = False  # whether its answer was judged while running
 
 
 @define
 class _Server:
-    """Hold one backend server's health, leases and the answers kept for them."""
+    """Hold the health, the leases and the cached units of one backend server."""
 
     health: ServerHealth
     takes_work: bool = False
-    held: dict[int, int] = field(factory=dict)  # leases on each unit
+    leases_by_unit: dict[int, int] = field(factory=dict)  # number of leases
     running: int = 0
-    proven: int = 0
+    judged: int = 0
     taken_up: int = 0
     next_take_up: float = 0.0
     usable: list[int] = field(factory=list)
@@ -58,29 +59,29 @@
     valid_until: float = 0.0
     free: tuple[FreeUnit, ...] | None = None
 
-    def hold(self, index: int) -> None:
-        self.held[index] = self.held.get(index, 0) + 1
+    def add_lease(self, index: int) -> None:
+        self.leases_by_unit[index] = self.leases_by_unit.get(index, 0) + 1
         self.running += 1
         self.free = None
 
-    def let_go(self, index: int) -> None:
-        left = self.held[index] - 1
-        if left:
-            self.held[index] = left
+    def remove_lease(self, index: int) -> None:
+        remaining = self.leases_by_unit[index] - 1
+        if remaining:
+            self.leases_by_unit[index] = remaining
         else:
-            del self.held[index]
+            del self.leases_by_unit[index]
         self.running -= 1
         self.free = None
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         self.generation = -1
 
 
 class ServerBook:
     """Hold the backend servers of one shard, for its scheduler.
 
-    `longest_lease_s` is the longest timeout of the routes to the pool, `handed_over`
-    says that the former scheduler gave the role up in good order.
+    `longest_lease_s` is the longest timeout in seconds of the routes to the pool.
+    `handed_over` means that the former scheduler stepped down in good order.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
 
     @property
     def shares_lost(self) -> int:
-        """Return how many units of lost routers are taken up now."""
+        """Return how many units of lost routers are in use without a lending."""
         return sum(server.taken_up for server in self._servers.values())
 
     def set_servers(
@@ -114,9 +115,10 @@
         taking: Collection[ServerName],
         now: float,
     ) -> tuple[WarmthChange, ...]:
-        """Take a change of table; a server not in `taking` gets no new work.
+        """Apply a table change; a server that is not in `taking` gets no new work.
 
-        One that comes back starts cold: what it did meanwhile was not seen.
+        A server that returns to `taking` starts cold, because its state may have
+        changed unobserved.
         """
         self._pool = pool
         changes: list[WarmthChange] = []
@@ -129,62 +131,62 @@
             if takes_work and not known.takes_work:
                 changes += known.health.reset_to_cold("taken into service")
             known.takes_work = takes_work
-            known.forget()
+            known.invalidate()
         self._drop_servers({server.name for server in servers})
         return tuple(changes)
 
     def set_vms(self, vms: Collection[RouterName], now: float) -> None:
-        """Take the published VMs of the data centre: the owners of units."""
+        """Set the published VMs of the data centre, which own the units."""
         self._shares.set_vms(vms, now)
 
     def lend(self, router: RouterName, until: float, now: float) -> None:
-        """Let a router's units be granted until a time."""
+        """Allow grants of a router's units until a time."""
         self._shares.lend(router, until, now)
 
     def recall(self, router: RouterName) -> None:
-        """End a router's lending, for it left in good order."""
+        """End the lending of a router that left in good order."""
         self._shares.recall(router)
 
     def mark_lost(self, router: RouterName, now: float) -> None:
-        """Note that a router is dead: its share is taken up slowly."""
+        """Record that a router is lost; its share is taken up unit by unit."""
         self._shares.mark_lost(router, now)
 
     def mark_seen(self, router: RouterName) -> None:
-        """Give back the share of a router that was thought lost."""
+        """Stop using the share of a lost router that is reachable again."""
         self._shares.mark_seen(router)
 
     def adopt_hint(self, hint: ServerHint, now: float) -> tuple[WarmthChange, ...]:
-        """Take over what the former scheduler last said of a server."""
+        """Adopt the former scheduler's last hint about a server."""
         server = self._servers.get(hint.server)
         if server is None or not server.takes_work:
             return ()
-        server.forget()
+        server.invalidate()
         return server.health.adopt(hint, now)
 
     def adopt_lease(self, lease: RunningLease, router: RouterName, now: float) -> None:
-        """Charge a lease that runs already; one that is known changes nothing."""
+        """Add a lease that is running already; do nothing if it is known."""
         if lease.lease_id not in self._leases:
-            self._charge(lease.lease_id, lease.unit, router)
+            self._record_lease(lease.lease_id, lease.unit, router)
 
     def free(self, now: float) -> tuple[FreeUnit, ...]:
         """Return the units that may be granted now, lowest index first."""
         found: list[FreeUnit] = []
         for name, server in self._servers.items():
             if server.takes_work:
-                found += self._free_of(name, server, now)
+                found += self._free_units(name, server, now)
         return tuple(found)
 
     def take(self, unit: Unit, lease_id: str, router: RouterName, now: float) -> None:
-        """Charge a unit to a new lease; raise `CapacityError` if it is not free."""
+        """Assign a unit to a new lease; raise `CapacityError` if it is not free."""
         if lease_id in self._leases or not self._is_free(unit, now):
             raise CapacityError(
                 f"Unit {unit.index} of {unit.server} is not free.",
-                hint="Ask the book for its free units again before granting.",
+                hint="Get the free units again before granting.",
             )
-        self._charge(lease_id, unit, router)
+        self._record_lease(lease_id, unit, router)
 
     def release(self, lease_id: str, now: float) -> None:
-        """Free the unit of a lease that ended; an unknown lease changes nothing."""
+        """Free the unit of an ended lease; do nothing if the lease is unknown."""
         self.expire(lease_id)
 
     def expire(self, lease_id: str) -> None:
@@ -194,11 +196,11 @@
             return
         server = self._servers.get(lease.unit.server)
         if server is not None:
-            server.let_go(lease.unit.index)
-            server.proven -= lease.proven
+            server.remove_lease(lease.unit.index)
+            server.judged -= lease.judged
 
     def orphans(self, router: RouterName) -> tuple[str, ...]:
-        """Return the leases of a router; once it is lost they run to their deadline."""
+        """Return a router's leases, which run to their deadlines once it is lost."""
         return tuple(
             lease_id
             for lease_id, lease in self._leases.items()
@@ -215,14 +217,14 @@
         now: float,
         lease_id: str = "",
     ) -> tuple[WarmthChange, ...]:
-        """Judge a server by how a request on it ended, before its lease is released."""
+        """Judge a server by an ended request, before its lease is released."""
         known = self._servers.get(server)
         if known is None:
             return ()
         lease = self._leases.get(lease_id)
-        proven = lease is not None and lease.proven
-        if proven and outcome is Outcome.COMPLETED and not known.health.is_warm:
-            return ()  # it was counted when it had got far enough
+        judged = lease is not None and lease.judged
+        if judged and outcome is Outcome.COMPLETED and not known.health.is_warm:
+            return ()  # `observe_early` has counted it
         usable = len(self._refresh(server, known, now))
         before = (known.health.warmth, known.health.limit(now), known.taken_up)
         full = is_fully_used(known.running, usable)
@@ -234,12 +236,12 @@
             known.running,
             full,
             now,
-            unproven=known.running - known.proven,
+            unjudged=known.running - known.judged,
         )
         self._adjust_taken_up(server, known, outcome, full, now)
         after = (known.health.warmth, known.health.limit(now), known.taken_up)
         if before != after:
-            known.forget()
+            known.invalidate()
         return changes
 
     def observe_early(
@@ -250,20 +252,21 @@
         service: float,
         now: float,
     ) -> tuple[WarmthChange, ...]:
-        """Judge a server that is not warm by an answer that still runs.
+        """Judge a server that is not warm by an answer that is still running.
 
-        An answer of a long letter takes ten seconds and more, a ramp ten rounds of
-        them; its first sixteen tokens say the same of the server after one second. A
-        warm server's limit is found from whole answers, whose times are steadier.
+        A long answer takes ten seconds or more, and a ramp takes ten rounds of
+        answers. The first sixteen tokens tell as much about the server after one
+        second. The limit of a warm server is derived from whole answers, whose times
+        vary less.
         """
         lease = self._leases.get(lease_id)
-        if lease is None or lease.proven:
+        if lease is None or lease.judged:
             return ()
         known = self._servers.get(lease.unit.server)
         if known is None or known.health.is_warm:
             return ()
-        self._leases[lease_id] = evolve(lease, proven=True)
-        known.proven += 1
+        self._leases[lease_id] = evolve(lease, judged=True)
+        known.judged += 1
         changes = known.health.observe(
             Outcome.COMPLETED,
             first_s,
@@ -272,13 +275,13 @@
             known.running,
             full=True,
             now=now,
-            unproven=known.running - known.proven,
+            unjudged=known.running - known.judged,
         )
-        known.forget()
+        known.invalidate()
         return changes
 
     def status(self, now: float) -> tuple[ServerStatus, ...]:
-        """Return how every server stands, for the heartbeat."""
+        """Return the status of every server for the heartbeat."""
         rows = []
         for name, server in self._servers.items():
             usable = self._refresh(name, server, now) if server.takes_work else []
@@ -297,7 +300,7 @@
         return tuple(rows)
 
     def capacity(self, now: float) -> int:
-        """Return how many units are usable, free or taken."""
+        """Return how many units are usable, whether free or in use."""
         return sum(
             len(self._refresh(name, server, now))
             for name, server in self._servers.items()
@@ -312,42 +315,46 @@
         for name in set(self._servers) - set(kept):
             del self._servers[name]
 
-    def _charge(self, lease_id: str, unit: Unit, router: RouterName) -> None:
+    def _record_lease(self, lease_id: str, unit: Unit, router: RouterName) -> None:
         server = self._servers.get(unit.server)
         if server is None:
             return
         self._leases[lease_id] = _Lease(unit, router)
-        server.hold(unit.index)
+        server.add_lease(unit.index)
 
     def _is_free(self, unit: Unit, now: float) -> bool:
         server = self._servers.get(unit.server)
-        if server is None or not server.takes_work or unit.index in server.held:
+        if (
+            server is None
+            or not server.takes_work
+            or unit.index in server.leases_by_unit
+        ):
             return False
         usable = self._refresh(unit.server, server, now)
         return unit.index in usable and server.running < len(usable)
 
-    def _free_of(
+    def _free_units(
         self, name: ServerName, server: _Server, now: float
     ) -> tuple[FreeUnit, ...]:
         if not server.takes_work:
             return ()
         usable = self._refresh(name, server, now)
         if server.free is None:
-            server.free = self._offers(name, server, usable, now)
+            server.free = self._build_free_units(name, server, usable, now)
         return server.free
 
-    def _offers(
+    def _build_free_units(
         self, name: ServerName, server: _Server, usable: list[int], now: float
     ) -> tuple[FreeUnit, ...]:
-        room = len(usable) - server.running
-        if room <= 0:
+        available = len(usable) - server.running
+        if available <= 0:
             return ()
         warmth = server.health.warmth
         limit = server.health.limit(now)
-        open_units = [index for index in usable if index not in server.held]
+        unused = [index for index in usable if index not in server.leases_by_unit]
         return tuple(
             FreeUnit(Unit(name, index), warmth, server.running, limit)
-            for index in open_units[:room]
+            for index in unused[:available]
         )
 
     def _refresh(self, name: ServerName, server: _Server, now: float) -> list[int]:
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -1,10 +1,10 @@
-"""Service totals between the schedulers of a pool.
+"""Exchange of service totals between the schedulers of a pool.
 
-Load it answers: a workspace whose requests are queued at several shards, or at
-another shard than its rival's. Without totals every shard is fair by itself, and a
-workspace is served once per shard it reaches; an operator would see service differ
-by the number of shards. Nothing is agreed on: each scheduler tells cumulative sums
-under its own epoch, so that a report that is lost, doubled or late does no harm.
+It is built for workspaces whose requests are queued at several shards, or at another
+shard than those of a competing workspace. Without totals each shard is fair only on
+its own, and a workspace gets a full share at every shard it uses; operators would see
+service grow with the number of shards. No consensus is needed: each scheduler sends
+cumulative sums under its own epoch, so lost, duplicate or late reports do no harm.
 """
 
 from __future__ import annotations
@@ -18,57 +18,59 @@
 from fulmarroad.types import Epoch, ShardId, WorkspaceName
 
 CONTROL_BYTES_S = 2500.0
-"""Bytes a second that one scheduler may spend on reports, of 7 KB a second in all."""
+"""Bytes per second for the reports of one scheduler, of 7 KB per second in all."""
 
 REPORT_BYTES = 100
 ENTRY_BYTES = 48
-"""Sizes on the wire, measured with the codec and names of 16 letters."""
+"""Encoded sizes in bytes, for names of 16 letters."""
 
 BURST_BYTES = 2 * CONTROL_BYTES_S
-"""Unspent budget that is kept: news after a quiet time goes out at once."""
+"""Unspent budget that accumulates, so that changes after a quiet period are sent at
+once."""
 
 MAX_ENTRIES = 64
-"""Entries in one report; what is left out is told next, the largest change first."""
+"""Entries per report; the next one sends the rest, the largest change first."""
 
 MOVE_COSTS = 2.0
-"""Costs by which a workspace must lag before its demands move for fairness' sake.
+"""Lag, in request costs, from which demands of a workspace move to another shard.
 
-One cost of difference is normal between two grants; at two, the next grant at the
-other shard would still go to somebody served more.
+A lag of one cost is normal between two grants. At two, the next grant of the other
+shard would still go to a workspace that was served more.
 """
 
-LEAST_FIRST = 8
-"""The least served are always told of: whom a shard serves next decides what others
-send to it."""
+MIN_LEAST_SERVED = 8
+"""Least served workspaces that every report contains; other shards choose by them
+which demands they send here."""
 
 MIN_INTERVAL_S = 0.1
-"""Reports are no closer than this: below it the gap is ruled by request cost."""
+"""Least seconds between reports; below it the cost of single requests determines the
+gap."""
 
 IDLE_INTERVAL_S = 2.0
-"""A scheduler without news tells its free units this often."""
+"""Seconds between reports of free units while no totals change."""
 
 ACTIVE_S = 5.0
-"""A workspace counts as backlogged elsewhere this long after it was last told.
+"""Seconds for which a workspace counts as backlogged elsewhere after a report.
 
-Longer than two idle intervals, so that one lost report doesn't end it.
+It is longer than two idle intervals, so that one lost report doesn't end the backlog.
 """
 
-CUT_S = 5.0
-"""Silence of a scheduler after which its service counts as told late."""
+SILENCE_S = 5.0
+"""Seconds without a report after which a scheduler's next service counts as late."""
 
-YOUNG_S = 2.0
-"""Time in which a workspace that is new here takes its counter from reports."""
+SEED_WINDOW_S = 2.0
+"""Seconds in which a workspace that is new here gets its counter from reports."""
 
 FORGET_S = 2 * 3600.0
-"""Sums of a silent scheduler are kept this long; regions are cut off for an hour."""
+"""Seconds to keep sums of a silent scheduler; a region may be cut off for an hour."""
 
 MAX_EPOCHS = 128
-"""Schedulers remembered; a pool of today's largest size has some 20 shards."""
+"""Greatest number of schedulers kept; the largest pools have some 20 shards."""
 
 
 @define
-class _Heard:
-    """Hold what one scheduler last told of one workspace."""
+class _ReceivedEntry:
+    """Hold the last entry received from one scheduler for one workspace."""
 
     sequence: int
     served: float
@@ -78,23 +80,23 @@
 
 @define
 class _Peer:
-    """Hold what was heard from one scheduler, under one epoch."""
+    """Hold what one scheduler reported under one epoch."""
 
     shard: ShardId
     at: float
     sequence: int = -1
-    resumed: float = -math.inf
-    entries: dict[WorkspaceName, _Heard] = field(factory=dict)
+    resumed_at: float = -math.inf
+    entries: dict[WorkspaceName, _ReceivedEntry] = field(factory=dict)
 
 
 @define
-class _Told:
+class _SentEntry:
     served: float
     at: float
 
 
 def report_size(entries: int) -> int:
-    """Return the bytes of a report to one peer."""
+    """Return the size in bytes of a report to one peer."""
     return REPORT_BYTES + ENTRY_BYTES * min(entries, MAX_ENTRIES)
 
 
@@ -116,89 +118,92 @@
 ) -> float:
     """Return the largest gap in weighted service between two backlogged workspaces.
 
-    The gap is what the one was served more than the other over any interval in which
-    both were backlogged throughout. `units` and `rate` (service units a second) are
-    the pool's, `estimate_error` the largest difference between a grant's estimate and
-    the cost found later. The parts, each a worst case:
+    The gap is how much more service one of them received than the other, over any
+    interval in which both were backlogged throughout. `units` and `rate` (service
+    units a second) are those of the pool. `estimate_error` is the largest difference
+    between the estimate of a grant and its actual cost. The bound adds these worst
+    cases:
 
     - `2 * largest_cost`: each of the two may be one grant ahead of the other.
-    - `2 * units * (largest_cost + estimate_error)`: a grant is charged before it is
-      rendered and corrected after it; all units may hold leases of the one workspace
-      at the interval's beginning and of the other at its end.
-    - `4 * rate * (interval_s + delay_s)`: what other schedulers gave and has not been
-      told yet, for both; once more for counters seeded at different times, and once
-      more until demands have moved.
-    - `(units + MOVE_COSTS) * largest_cost`: leases granted at once before a workspace
-      was first told of, and the difference below which demands stay at their shard.
-      The last two are missing where the pool has one shard.
-
-    It holds while reports arrive and demands may move. During a cut it holds on each
-    side; afterwards the gap closes at the rate that `REPAY` gives.
+    - `2 * units * (largest_cost + estimate_error)`: a grant is charged before the
+      service and corrected after it; all units may hold leases of one workspace at
+      the beginning of the interval and of the other at its end.
+    - `4 * rate * (interval_s + delay_s)`: service by other schedulers that is not
+      reported yet, for both workspaces; once more for counters seeded at different
+      times, and once more until demands have moved.
+    - `(units + MOVE_COSTS) * largest_cost`: leases granted before the first report of
+      a workspace arrived, and the lag below which demands don't move.
+
+    The last two are left out if the pool has one shard.
+
+    The bound holds while reports arrive and demands may move. During a network
+    partition it holds on each side; afterwards the gap closes at the rate set by
+    `DEBT_SURCHARGE`.
     """
     grants = 2 * largest_cost + 2 * units * (largest_cost + estimate_error)
     if shards <= 1:
         return grants / min_weight
-    untold = 4 * rate * (interval_s + delay_s)
+    unreported = 4 * rate * (interval_s + delay_s)
     moves = (units + MOVE_COSTS) * largest_cost
-    return (grants + untold + moves) / min_weight
+    return (grants + unreported + moves) / min_weight
 
 
 def _is_sane(entry: ServiceEntry) -> bool:
     return math.isfinite(entry.served) and math.isfinite(entry.lag)
 
 
-def _is_young(account: Account, now: float) -> bool:
-    return now - account.began <= YOUNG_S
+def _is_new(account: Account, now: float) -> bool:
+    return now - account.era_start <= SEED_WINDOW_S
 
 
 class Totals:
-    """Count service that other schedulers gave, and tell them what was given here."""
+    """Add service reported by other schedulers and report the service given here."""
 
     def __init__(self, shard: ShardId, epoch: Epoch, queue: FleetQueue) -> None:
         self._shard = shard
         self._epoch = epoch
         self._queue = queue
         self._peers: dict[Epoch, _Peer] = {}
-        self._told: dict[WorkspaceName, _Told] = {}
+        self._sent: dict[WorkspaceName, _SentEntry] = {}
 
     def knows(self, epoch: Epoch) -> bool:
-        """Tell whether a scheduler was heard before, or is this one."""
+        """Return whether a scheduler has reported before or is this one."""
         return epoch in self._peers or epoch == self._epoch
 
     def receive_report(self, report: ServiceReport, now: float) -> bool:
-        """Count a report; return false for one's own, or one that is not the newest."""
+        """Apply a report; return false if it is an own one or not the newest."""
         if report.epoch == self._epoch:
             return False
         peer = self._peers.get(report.epoch)
         if peer is None:
             peer = self._peers[report.epoch] = _Peer(report.shard, now)
-            self._make_room()
-        if now - peer.at > CUT_S:
-            peer.resumed = now
+            self._evict_oldest_peers()
+        if now - peer.at > SILENCE_S:
+            peer.resumed_at = now
         peer.at = now
         rows = [row for row in report.entries if _is_sane(row)]
-        base = self._anchor(rows, now)
+        base = self._zero_lag_counter(rows, now)
         for entry in rows:
-            self._count(peer, report.sequence, entry, base, now)
+            self._apply_entry(peer, report.sequence, entry, base, now)
         newest = report.sequence > peer.sequence
         peer.sequence = max(peer.sequence, report.sequence)
         return newest
 
     def active_peer_count(self, now: float) -> int:
-        """Return how many schedulers were heard of lately."""
+        """Return how many schedulers sent a report within `ACTIVE_S`."""
         return sum(1 for peer in self._peers.values() if now - peer.at < ACTIVE_S)
 
     def entries(self, now: float, limit: int = MAX_ENTRIES) -> tuple[ServiceEntry, ...]:
-        """Return what to tell: the least served, then the largest change first."""
-        base = self._queue.reference(now)
-        rows = self._newsworthy(now)
-        first = min(LEAST_FIRST, -(-limit // 2))
+        """Return the entries to send: the least served first, then by priority."""
+        base = self._queue.reference_counter(now)
+        rows = self._reportable(now)
+        first = min(MIN_LEAST_SERVED, -(-limit // 2))
         rows[first:] = sorted(
-            rows[first:], key=lambda row: self._urgency(row, now), reverse=True
+            rows[first:], key=lambda row: self._report_priority(row, now), reverse=True
         )
-        told = rows[:limit]
-        for account in told:
-            self._told[account.name] = _Told(account.served, now)
+        sent = rows[:limit]
+        for account in sent:
+            self._sent[account.name] = _SentEntry(account.served, now)
         return tuple(
             ServiceEntry(
                 account.name,
@@ -206,62 +211,62 @@
                 account.counter - base,
                 len(account.waiting),
             )
-            for account in told
+            for account in sent
         )
 
     def pending_entries(self, now: float) -> int:
-        """Return how many workspaces the next report would tell of."""
-        return self._queue.ahead() + len(self._served_for_others(now))
+        """Return how many workspaces the next report would contain without a limit."""
+        return self._queue.ahead() + len(self._unreported_remote(now))
 
     def forget(self, now: float) -> None:
-        """Drop what was heard of schedulers that are long silent."""
+        """Drop sums that were received or sent more than `FORGET_S` ago."""
         for epoch in [e for e, p in self._peers.items() if now - p.at > FORGET_S]:
             del self._peers[epoch]
-        old = [n for n, told in self._told.items() if now - told.at > FORGET_S]
+        old = [n for n, sent in self._sent.items() if now - sent.at > FORGET_S]
         for name in old:
-            del self._told[name]
+            del self._sent[name]
 
-    def _newsworthy(self, now: float) -> list[Account]:
-        """Return the workspaces that belong into a report, the least served first.
+    def _reportable(self, now: float) -> list[Account]:
+        """Return the workspaces to report: first the backlogged by least service.
 
-        One that is backlogged only elsewhere counts as well if it was served here:
-        it would otherwise be served here on top of its share.
+        A workspace that is backlogged only elsewhere is included if it was served
+        here; otherwise it would get that service on top of its share.
         """
-        return self._queue.backlogged() + self._served_for_others(now)
+        return self._queue.backlogged() + self._unreported_remote(now)
 
-    def _served_for_others(self, now: float) -> list[Account]:
+    def _unreported_remote(self, now: float) -> list[Account]:
         rows = []
         for account in self._queue.backlogged_elsewhere(now):
-            told = self._told.get(account.name)
-            if account.served != (told.served if told else 0.0):
+            sent = self._sent.get(account.name)
+            if account.served != (sent.served if sent else 0.0):
                 rows.append(account)
         return rows
 
-    def _urgency(self, account: Account, now: float) -> tuple[float, float]:
-        """Return the age of what was told once that is stale, then the change."""
-        told = self._told.get(account.name)
-        if told is None:
+    def _report_priority(self, account: Account, now: float) -> tuple[float, float]:
+        """Return the age of the last sent entry, or 0 if recent, and the change."""
+        sent = self._sent.get(account.name)
+        if sent is None:
             return math.inf, 0.0
-        age = now - told.at
+        age = now - sent.at
         stale = age if age > ACTIVE_S / 2 else 0.0
-        return stale, abs(account.served - told.served)
+        return stale, abs(account.served - sent.served)
 
-    def _anchor(self, entries: list[ServiceEntry], now: float) -> float:
-        """Return the counter here that a lag of 0 there corresponds to.
+    def _zero_lag_counter(self, entries: list[ServiceEntry], now: float) -> float:
+        """Return the local counter that corresponds to a lag of 0 at the sender.
 
-        It is found from workspaces that both know well; without any, the least
-        served of both count as equal.
+        It is the mean over workspaces with settled counters at both schedulers. If
+        there is none, the least served workspaces of both are treated as equal.
         """
         offsets = []
         for entry in entries:
             account = self._queue.account(entry.workspace)
-            if account.active(now) and (account.seeded or not _is_young(account, now)):
+            if account.active(now) and (account.seeded or not _is_new(account, now)):
                 offsets.append(account.counter - entry.lag)
         if offsets:
             return sum(offsets) / len(offsets)
-        return self._queue.reference(now)
+        return self._queue.reference_counter(now)
 
-    def _count(
+    def _apply_entry(
         self,
         peer: _Peer,
         sequence: int,
@@ -269,33 +274,36 @@
         base: float,
         now: float,
     ) -> None:
-        heard = peer.entries.get(entry.workspace)
-        if heard is not None and sequence <= heard.sequence:
+        last = peer.entries.get(entry.workspace)
+        if last is not None and sequence <= last.sequence:
             return
         account = self._queue.account(entry.workspace)
         if entry.waiting and not account.active(now):
-            account.reset_to_floor(self._queue.reference(now), now)
-        if entry.waiting and not account.seeded and _is_young(account, now):
+            account.reset_to_floor(self._queue.reference_counter(now), now)
+        if entry.waiting and not account.seeded and _is_new(account, now):
             self._queue.seed(account, base + entry.lag)
-        elif heard is not None and heard.era == account.era:
-            late = heard.at < peer.resumed
-            self._add(account, entry.served - heard.served, late=late)
+        elif last is not None and last.era == account.era:
+            late = last.at < peer.resumed_at
+            self._add_service(account, entry.served - last.served, late=late)
         if entry.waiting:
             self._queue.mark_active(account, now + ACTIVE_S)
-        peer.entries[entry.workspace] = _Heard(sequence, entry.served, now, account.era)
+        peer.entries[entry.workspace] = _ReceivedEntry(
+            sequence, entry.served, now, account.era
+        )
 
-    def _add(self, account: Account, service: float, *, late: bool) -> None:
-        """Count service; what was told late is owed and paid back bit by bit.
+    def _add_service(self, account: Account, service: float, *, late: bool) -> None:
+        """Add service at once, or as a debt repaid gradually if it was reported late.
 
-        After a long cut the sum may be worth minutes of service. Counted at once it
-        would starve the workspace here for minutes, though it did nothing wrong.
+        After a long network partition the sum may amount to minutes of service.
+        Adding it at once would starve the workspace here for minutes through no fault
+        of its own.
         """
         if late and service > 0:
-            account.owed += service
+            account.debt += service
         else:
             self._queue.add_remote(account, service)
 
-    def _make_room(self) -> None:
+    def _evict_oldest_peers(self) -> None:
         while len(self._peers) > MAX_EPOCHS:
             oldest = min(self._peers, key=lambda epoch: self._peers[epoch].at)
             del self._peers[oldest]
--- a/packages/fulmarroad/src/fulmarroad/_warmth.py
+++ b/packages/fulmarroad/src/fulmarroad/_warmth.py
@@ -1,11 +1,12 @@
-"""Judge how warm a backend server is, from the answers seen alone.
-
-Patterns of failure: a server that has just started, one that turns cold without
-warning, one that fails, one that flaps. A cold server that is given a warm one's load
-falls over, its callers time out, and the retries fell the next one; operators would
-notice errors in bursts right after a restart or a data centre's return. What a server
-says of itself lags and is not asked for: the budget of a cold server rises only on
-good answers at the present budget, and any bad one takes it back.
+"""Warmth of a backend server, derived from its answers alone.
+
+This covers servers that have just started, that become cold without warning, that
+fail, and that flap. A cold server under the load of a warm one becomes overloaded, its
+callers time out, and their retries overload the next server; operators would see
+bursts of errors right after a restart or the return of a data centre. Servers are not
+asked for their own state, which lags. The budget of a cold server, the number of
+requests it may run, rises only on good answers at the present budget, and bad ones
+reset it.
 """
 
 from __future__ import annotations
@@ -20,82 +21,115 @@
     AnswerTimes,
     ConcurrencyLimit,
     Round,
-    followed,
     latency_ratio,
+    relative_gain,
 )
 from fulmarroad._messages import ServerHint
 from fulmarroad._tables import Pool
 from fulmarroad.types import Outcome, ServerName, Warmth
 
 SMALL_BUDGET = 4
-"""Below this a budget grows by one, and no knee is looked for: throughput of one to
-three requests says little."""
+"""Budget below which the step is one and up to which throughput ends no ramp.
 
-GROWTH = 1.5
-"""Factor of a budget's step. What a round of good answers vouches for is the load that
-it ran at; the less is added at once, the sooner slowness is seen before a fall."""
+The throughput of one to three requests is too noisy to find the limit by.
+"""
+
+BUDGET_GROWTH = 1.5
+"""Factor by which a budget grows in one step.
+
+A round of good answers proves only the load under which it ran. The smaller the step,
+the more likely slow answers are seen before the server becomes overloaded.
+"""
 
 GOOD_PER_UNIT = 2
-"""Good answers for each unit that a step adds. A server that bears one request more
-for every two answers is never overloaded; three would be safer and a third slower,
-and one answer may be a cached or empty one."""
+"""Good answers required for each unit that a step adds.
 
-MOST_CARE = 3
-"""Doublings of the good answers needed, one for each ramp that failed: a server that
-warms up slowly isn't felled at the same budget again and again."""
+A server that can run one more request after every two answers is never overloaded.
+Three would be safer and a third slower; a single one may be a cached or empty answer.
+"""
+
+MAX_RAMP_DOUBLINGS = 3
+"""Greatest number of times that the required good answers are doubled.
+
+They are doubled for each failed ramp, so that a server that warms up slowly is not
+overloaded at the same budget again and again.
+"""
 
-SLOW_WORTH = 0.25
-"""What a slow answer counts while it is no worse than the server's own best. A target
-that no server meets makes the ramp four times longer instead of stopping it."""
+SLOW_ANSWER_WEIGHT = 0.25
+"""Weight of a slow answer that is close to the server's own best.
+
+With it a target that no server meets makes the ramp four times longer instead of
+stopping it.
+"""
 
 OWN_BEST_FACTOR = 1.5
-"""Multiple of the server's own best above which slowness is put down to our load."""
+"""Multiple of the server's own best above which slowness is attributed to the load."""
 
-VERY_SLOW = 2.0
-"""Multiple of the target (and of the own best) that ends a ramp at once."""
+VERY_SLOW_FACTOR = 2.0
+"""Multiple of the target, or of a higher own best, above which a ramp ends at once."""
 
 SLOW_RUN = 3
-"""Slow answers in a row that step a budget back, or find a warm server cold. One is a
-long prompt, two may be one caller's pair; three in a row between other callers' good
-answers are rare unless the server is the cause."""
+"""Slow answers in a row that step a budget back, or make a warm server cold.
+
+One may be due to a long prompt, two to a pair of requests of one caller. Three in a
+row are rare among the answers of several callers unless the server is the cause.
+"""
 
 SUDDEN_FACTOR = 4.0
-"""Multiple of a warm server's own recent norm at which a first token is out of line.
-Prompts of one pool vary by about this much in length between median and 95 in 100."""
+"""Multiple of a warm server's mean latency ratio above which an answer is an outlier.
 
-NORM_GAIN = 0.1
-"""Gain of the moving norm: about the last ten answers count."""
+The 95th percentile of prompt lengths in a pool is about this multiple of the median.
+"""
+
+MEAN_RATIO_GAIN = 0.1
+"""Weight of the newest answer in the mean latency ratio: about the last ten count."""
 
 FAILURE_RUN = 3
-"""Failures in a row that take a warm server out; also one in between resets them, so a
-single router that can't reach the server doesn't take it from all the others."""
+"""Failures in a row that take a warm server out of service.
+
+A single good answer resets the count, so that one router that can't reach the server
+doesn't take it out of service for all others.
+"""
 
 COLD_FAILURE_RUN = 2
-"""Failures in a row that take a cold or warming server out: its load is already the
-least, so less work can't help it."""
+"""Failures in a row that take a cold or warming server out of service.
+
+Its load is already the least possible, so reducing it further can't help.
+"""
 
 BACKOFF_BASE_S = 1.0
-"""First wait before a failing server is probed: a restart of a process takes longer."""
+"""Seconds before the first probe of a failing server; a restart takes longer."""
 
 BACKOFF_CAP_S = 60.0
-"""Longest wait: what a repaired server idles at most, and one probe a minute is the
-most that a dead one costs callers."""
+"""Longest wait between probes, in seconds.
+
+It is the longest time that a repaired server stays idle. A dead server costs callers
+at most one failed probe a minute.
+"""
 
 FLAP_HALF_LIFE_S = 300.0
-"""Time in which half of the flaps are forgotten, well above the longest wait, so that
-a server which fails at each return waits longer each time."""
+"""Half-life of the flap count in seconds.
+
+It is well above the longest wait, so that a server that fails at each return waits
+longer each time.
+"""
 
 HINT_MAX_AGE_S = 10.0
-"""Age above which the former scheduler's word is no evidence: a server can have been
-restarted since."""
+"""Age in seconds above which a former scheduler's hint is ignored.
+
+The server may have restarted since.
+"""
 
 HINT_TIE_S = 1.0
-"""Hints closer in age than this can't be ordered; the more careful one counts."""
+"""Difference in age, in seconds, below which hints are not ordered by age.
+
+Of two such hints the one with the lower limit counts.
+"""
 
 
 @frozen
 class WarmthChange:
-    """Say that a backend server changed warmth, and what answer caused it."""
+    """Describe a change of a backend server's warmth and its cause."""
 
     server: ServerName
     before: Warmth
@@ -105,17 +139,17 @@
 
 def next_budget(budget: int) -> int:
     """Return the budget after a round of good answers."""
-    return budget + 1 if budget < SMALL_BUDGET else int(budget * GROWTH)
+    return budget + 1 if budget < SMALL_BUDGET else int(budget * BUDGET_GROWTH)
 
 
 def good_answers_needed(budget: int, failed_ramps: int = 0) -> int:
     """Return how many good answers a budget needs before it rises."""
     added = next_budget(budget) - budget
-    return GOOD_PER_UNIT * added * 2 ** min(failed_ramps, MOST_CARE)
+    return GOOD_PER_UNIT * added * 2 ** min(failed_ramps, MAX_RAMP_DOUBLINGS)
 
 
 def ramp_budgets(cold: int, goal: int) -> Iterator[int]:
-    """Yield the budgets that a ramp passes before it reaches its goal."""
+    """Yield the budgets of a ramp that are below its goal."""
     budget = cold
     while budget < goal:
         yield budget
@@ -125,9 +159,10 @@
 def ramp_time(cold: int, goal: int, answer_s: float, failed_ramps: int = 0) -> float:
     """Return the seconds from cold to warm, given enough work and good answers.
 
-    At budget b the requests that already ran when it rose (the former budget) end
-    first and don't count, then `good_answers_needed(b)` end, b at a time:
-    the sum over the budgets of ceil((former + needed) / b), times an answer's time.
+    At budget b the requests that already ran when the budget rose, as many as the
+    former budget, end first and don't count. Then `good_answers_needed(b)` requests
+    end, b at a time. The result is the sum over the budgets of
+    ceil((former + needed) / b), times the time of one answer.
     """
     rounds = 0
     former = 0
@@ -140,58 +175,58 @@
 
 @define
 class ServerHealth:
-    """Hold the warmth of one backend server and the budget that it allows."""
+    """Hold the warmth of one backend server and the number of requests it may run."""
 
     server: ServerName
     pool: Pool
     concurrency: ConcurrencyLimit
     warmth: Warmth = Warmth.COLD
     _budget: int = field(default=1, init=False)
-    _former: int = field(default=1, init=False)  # the budget proven last
+    _proven_budget: int = field(default=1, init=False)  # last budget with good answers
     _times: AnswerTimes = field(init=False)
     _round: Round = field(factory=Round, init=False)
-    _former_throughput: float | None = field(default=None, init=False)
-    _good: float = field(default=0.0, init=False)
+    _proven_throughput: float | None = field(default=None, init=False)
+    _good_answers: float = field(default=0.0, init=False)
     _slow: bool = field(default=False, init=False)
     _slow_run: int = field(default=0, init=False)
     _failure_run: int = field(default=0, init=False)
-    _best: float = field(default=math.inf, init=False)  # least strain seen lately
-    _norm: float | None = field(default=None, init=False)
+    _best_ratio: float = field(default=math.inf, init=False)  # least recent ratio
+    _mean_ratio: float | None = field(default=None, init=False)
     _failed_ramps: int = field(default=0, init=False)
     _flaps: float = field(default=0.0, init=False)
     _flapped_at: float = field(default=0.0, init=False)
     _probe_at: float = field(default=0.0, init=False)
-    _seen: bool = field(default=False, init=False)
-    _hinted_at: float = field(default=-math.inf, init=False)
+    _outcome_seen: bool = field(default=False, init=False)
+    _hint_time: float = field(default=-math.inf, init=False)
 
     def __attrs_post_init__(self) -> None:
         self._times = AnswerTimes(self.pool)
         self._budget = self.pool.cold_concurrency
-        self._former = self._budget
+        self._proven_budget = self._budget
 
     @property
     def is_warm(self) -> bool:
-        """Tell whether the cold start is over."""
+        """Return whether the cold start is over."""
         return self.warmth is Warmth.WARM
 
     @property
     def informed(self) -> bool:
-        """Tell whether an answer was seen or a hint adopted since the last chill."""
-        return self._seen or self._hinted_at > -math.inf
+        """Return whether an answer or a hint was used since the last reset to cold."""
+        return self._outcome_seen or self._hint_time > -math.inf
 
     @property
     def slow(self) -> bool:
-        """Tell whether the last measured answer was slower than the pool's targets."""
+        """Return whether the last measured answer missed the pool's targets."""
         return self._slow
 
     def set_pool(self, pool: Pool) -> None:
-        """Take the pool's row of a new table."""
+        """Apply the pool settings of a new table."""
         self.pool = pool
         self.concurrency.pool = pool
         self._times.pool = pool
 
     def limit(self, now: float) -> int:
-        """Return the units that the server may be given now."""
+        """Return how many requests the server may run now."""
         if self.warmth is Warmth.WARM:
             return min(self.concurrency.limit, self.pool.max_concurrency)
         if self.warmth is Warmth.FAILING:
@@ -199,31 +234,31 @@
         return min(self._budget, self.pool.max_concurrency)
 
     def next_change(self, now: float) -> float:
-        """Return when the limit changes by time alone."""
+        """Return the time at which the limit next changes without an event."""
         if self.warmth is Warmth.FAILING and now < self._probe_at:
             return self._probe_at
         return math.inf
 
     def reset_to_cold(self, cause: str) -> tuple[WarmthChange, ...]:
-        """Begin the ramp anew, for the server returned or what it was is unknown."""
-        self._seen = False
-        self._hinted_at = -math.inf
-        return self._turn(Warmth.COLD, cause)
+        """Restart the ramp after the server returned or when its state is unknown."""
+        self._outcome_seen = False
+        self._hint_time = -math.inf
+        return self._change_warmth(Warmth.COLD, cause)
 
     def adopt(self, hint: ServerHint, now: float) -> tuple[WarmthChange, ...]:
-        """Take over what the former scheduler said, never more, unless answers spoke.
+        """Adopt a hint of the former scheduler unless answers have been seen.
 
-        A stale hint leaves the server cold. Of two hints the newer counts, and the
-        more careful one where they can't be told apart by age.
+        A stale hint leaves the server cold. Of two hints the newer counts, or the one
+        with the lower limit if their ages are within `HINT_TIE_S`.
         """
-        if self._seen or hint.age_s > HINT_MAX_AGE_S:
+        if self._outcome_seen or hint.age_s > HINT_MAX_AGE_S:
             return ()
-        said_at = now - hint.age_s
-        if said_at < self._hinted_at - HINT_TIE_S:
+        hint_time = now - hint.age_s
+        if hint_time < self._hint_time - HINT_TIE_S:
             return ()
-        if said_at < self._hinted_at + HINT_TIE_S and hint.limit >= self.limit(now):
+        if hint_time < self._hint_time + HINT_TIE_S and hint.limit >= self.limit(now):
             return ()
-        self._hinted_at = max(said_at, self._hinted_at)
+        self._hint_time = max(hint_time, self._hint_time)
         return self._adopt(hint, now)
 
     def observe(
@@ -235,27 +270,28 @@
         running: int,
         full: bool,
         now: float,
-        unproven: int | None = None,
+        unjudged: int | None = None,
     ) -> tuple[WarmthChange, ...]:
-        """Judge the server by one answer; `running` counts what ran, with it.
+        """Judge the server by one answer.
 
-        `unproven` counts those among them that were not judged yet, all by default.
+        `running` is the number of requests that ran, including this one, and
+        `unjudged` how many of them were not judged before (default: all).
         """
         if outcome in (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
             return self._on_failure(outcome, running, now)
-        load = latency_ratio(self.pool, first_s, gap_s)
-        if outcome is Outcome.DECLINED or load is None:
+        ratio = latency_ratio(self.pool, first_s, gap_s)
+        if outcome is Outcome.DECLINED or ratio is None:
             return self._on_unmeasured(outcome, now)
-        self._seen = True
+        self._outcome_seen = True
         self._failure_run = 0
-        self._slow = load > 1.0
+        self._slow = ratio > 1.0
         seconds = self._times.seconds(first_s, gap_s, service)
         if self.warmth is Warmth.FAILING:
             return self._on_probe_answer(now)
         if self.warmth is Warmth.WARM:
-            return self._on_warm_answer(load, seconds, running, full, now)
-        began_before = running if unproven is None else unproven
-        return self._on_ramp_answer(load, seconds, running, began_before)
+            return self._on_warm_answer(ratio, seconds, running, full, now)
+        running_before = running if unjudged is None else unjudged
+        return self._on_ramp_answer(ratio, seconds, running, running_before)
 
     def _on_unmeasured(self, outcome: Outcome, now: float) -> tuple[WarmthChange, ...]:
         if outcome is Outcome.COMPLETED and self.warmth is Warmth.FAILING:
@@ -265,7 +301,7 @@
     def _on_failure(
         self, outcome: Outcome, running: int, now: float
     ) -> tuple[WarmthChange, ...]:
-        self._seen = True
+        self._outcome_seen = True
         if self.warmth is Warmth.FAILING:
             if now >= self._probe_at:
                 self._back_off(now)
@@ -278,70 +314,83 @@
             allowed = COLD_FAILURE_RUN
         if self._failure_run >= allowed:
             self._back_off(now)
-            return self._turn(Warmth.FAILING, f"{outcome} {self._failure_run} in a row")
+            return self._change_warmth(
+                Warmth.FAILING, f"{outcome} {self._failure_run} in a row"
+            )
         if self.warmth is Warmth.WARMING:
-            return self._turn(Warmth.COLD, f"{outcome} while warming")
-        self._good = 0.0
+            return self._change_warmth(Warmth.COLD, f"{outcome} while warming")
+        self._good_answers = 0.0
         return ()
 
     def _on_probe_answer(self, now: float) -> tuple[WarmthChange, ...]:
         if now < self._probe_at:
-            return ()  # a request from before the server was taken out
-        return self._turn(Warmth.COLD, "probe answered")
+            return ()  # began before the server was taken out of service
+        return self._change_warmth(Warmth.COLD, "probe answered")
 
     def _on_ramp_answer(
-        self, load: float, seconds: float | None, running: int, began_before: int
+        self, ratio: float, seconds: float | None, running: int, running_before: int
     ) -> tuple[WarmthChange, ...]:
-        best = self._best
-        self._note_best(load)
-        if load <= 1.0:
+        best = self._best_ratio
+        self._update_best_ratio(ratio)
+        if ratio <= 1.0:
             self._slow_run = 0
-            return self._count(1.0, seconds, running, began_before)
-        if load <= OWN_BEST_FACTOR * best and best < math.inf:
+            return self._count_answer(1.0, seconds, running, running_before)
+        if ratio <= OWN_BEST_FACTOR * best and best < math.inf:
             self._slow_run = 0
-            return self._count(SLOW_WORTH, seconds, running, began_before)
-        self._good = 0.0
+            return self._count_answer(
+                SLOW_ANSWER_WEIGHT, seconds, running, running_before
+            )
+        self._good_answers = 0.0
         self._slow_run += 1
         if self.warmth is Warmth.COLD:
             return ()
-        if load > VERY_SLOW * max(1.0, best):
-            return self._turn(Warmth.COLD, "very slow answer while warming")
+        if ratio > VERY_SLOW_FACTOR * max(1.0, best):
+            return self._change_warmth(Warmth.COLD, "very slow answer while warming")
         if self._slow_run >= SLOW_RUN:
-            return self._settle("slow answers: limit found", self._former, running)
+            return self._become_warm(
+                "slow answers: limit found", self._proven_budget, running
+            )
         return ()
 
-    def _note_best(self, load: float) -> None:
-        # The best fades, as the first answers may come from before a turn to cold.
-        if load <= self._best:
-            self._best = load
+    def _update_best_ratio(self, ratio: float) -> None:
+        # The best decays, because the first answers may belong to requests that began
+        # before the server became cold.
+        if ratio <= self._best_ratio:
+            self._best_ratio = ratio
         else:
-            self._best += NORM_GAIN * (load - self._best)
+            self._best_ratio += MEAN_RATIO_GAIN * (ratio - self._best_ratio)
 
-    def _count(
-        self, worth: float, seconds: float | None, running: int, began_before: int
+    def _count_answer(
+        self, weight: float, seconds: float | None, running: int, running_before: int
     ) -> tuple[WarmthChange, ...]:
         if 2 * running < self._budget:
-            return ()  # says nothing of the budget, for less than half of it was used
+            return ()  # less than half in use: no evidence for the budget
         counted = self._round.answers
-        self._round.note(running, seconds, slow=worth < 1.0, full=True)
+        self._round.note(running, seconds, slow=weight < 1.0, full=True)
         if self._round.answers > counted:
-            self._good += worth
-        if self._good < good_answers_needed(self._budget, self._failed_ramps):
+            self._good_answers += weight
+        if self._good_answers < good_answers_needed(self._budget, self._failed_ramps):
             return ()
-        return self._end_budget(running, began_before)
+        return self._raise_budget(running, running_before)
 
-    def _end_budget(self, running: int, began_before: int) -> tuple[WarmthChange, ...]:
-        done = self._round.throughput
-        gain = followed(self._former, self._former_throughput, self._budget, done)
+    def _raise_budget(
+        self, running: int, running_before: int
+    ) -> tuple[WarmthChange, ...]:
+        throughput = self._round.throughput
+        gain = relative_gain(
+            self._proven_budget, self._proven_throughput, self._budget, throughput
+        )
         if self._budget > SMALL_BUDGET and gain < MIN_GAIN:
-            return self._settle("no gain: limit found", self._former, running)
-        self._former = self._budget
-        self._former_throughput = done
+            return self._become_warm(
+                "no gain: limit found", self._proven_budget, running
+            )
+        self._proven_budget = self._budget
+        self._proven_throughput = throughput
         self._budget = next_budget(self._budget)
-        self._good = 0.0
-        self._round = Round(began_before)
+        self._good_answers = 0.0
+        self._round = Round(running_before)
         if self._budget >= self.concurrency.limit:
-            return self._settle("ramp done", self.concurrency.limit, running)
+            return self._become_warm("ramp done", self.concurrency.limit, running)
         if self.warmth is Warmth.WARMING:
             return ()
         self.warmth = Warmth.WARMING
@@ -350,61 +399,69 @@
 
     def _on_warm_answer(
         self,
-        load: float,
+        ratio: float,
         seconds: float | None,
         running: int,
         full: bool,
         now: float,
     ) -> tuple[WarmthChange, ...]:
-        norm = self._norm
-        if norm is not None and load > max(1.0, SUDDEN_FACTOR * norm):
+        mean_ratio = self._mean_ratio
+        if mean_ratio is not None and ratio > max(1.0, SUDDEN_FACTOR * mean_ratio):
             self._slow_run += 1
             if self._slow_run >= SLOW_RUN:
                 self._note_flap(now)
-                return self._turn(Warmth.COLD, "suddenly slow")
+                return self._change_warmth(Warmth.COLD, "suddenly slow")
             return ()
         self._slow_run = 0
-        self._norm = load if norm is None else norm + NORM_GAIN * (load - norm)
-        self.concurrency.note_answer(running, seconds, load > 1.0, full)
+        self._mean_ratio = (
+            ratio
+            if mean_ratio is None
+            else mean_ratio + MEAN_RATIO_GAIN * (ratio - mean_ratio)
+        )
+        self.concurrency.note_answer(running, seconds, ratio > 1.0, full)
         return ()
 
     def _adopt(self, hint: ServerHint, now: float) -> tuple[WarmthChange, ...]:
         cause = "hint of the former scheduler"
         limit = max(1, min(hint.limit, self.pool.max_concurrency))
         if hint.warmth is Warmth.WARM:
-            return self._settle(cause, limit, 0)
+            return self._become_warm(cause, limit, 0)
         if hint.warmth is Warmth.FAILING:
             self._probe_at = now + BACKOFF_BASE_S
-            return self._turn(Warmth.FAILING, cause)
-        change = self._turn(hint.warmth, cause)
+            return self._change_warmth(Warmth.FAILING, cause)
+        change = self._change_warmth(hint.warmth, cause)
         self._budget = limit
-        self._former = min(limit, self.pool.cold_concurrency)
+        self._proven_budget = min(limit, self.pool.cold_concurrency)
         return change
 
-    def _settle(self, cause: str, limit: int, running: int) -> tuple[WarmthChange, ...]:
+    def _become_warm(
+        self, cause: str, limit: int, running: int
+    ) -> tuple[WarmthChange, ...]:
         self.concurrency.restart(limit, running)
-        return self._turn(Warmth.WARM, cause)
+        return self._change_warmth(Warmth.WARM, cause)
 
-    def _turn(self, after: Warmth, cause: str) -> tuple[WarmthChange, ...]:
+    def _change_warmth(
+        self, new_warmth: Warmth, cause: str
+    ) -> tuple[WarmthChange, ...]:
         before = self.warmth
-        self.warmth = after
-        if after is Warmth.WARM:
+        self.warmth = new_warmth
+        if new_warmth is Warmth.WARM:
             self._failed_ramps = 0
         elif before is Warmth.WARMING:
             self._failed_ramps += 1
         self._budget = self.pool.cold_concurrency
-        self._former = self._budget
-        self._good = 0.0
+        self._proven_budget = self._budget
+        self._good_answers = 0.0
         self._round = Round()
-        self._former_throughput = None
+        self._proven_throughput = None
         self._slow_run = 0
         self._failure_run = 0
-        self._norm = None
-        if after is not Warmth.WARM:
-            self._best = math.inf
-        if before is after:
+        self._mean_ratio = None
+        if new_warmth is not Warmth.WARM:
+            self._best_ratio = math.inf
+        if before is new_warmth:
             return ()
-        return (WarmthChange(self.server, before, after, cause),)
+        return (WarmthChange(self.server, before, new_warmth, cause),)
 
     def _back_off(self, now: float) -> None:
         self._note_flap(now)
--- a/packages/fulmarroad/tests/test_concurrency.py
+++ b/packages/fulmarroad/tests/test_concurrency.py
@@ -1,11 +1,16 @@
-"""The limit of a warm server settles where its throughput is, whatever its engine."""
+"""Test that the limit of a warm server settles at the best throughput of its engine."""
 
 import random
 
 import pytest
 from attrs import define, field
 
-from fulmarroad._concurrency import ConcurrencyLimit, Round, followed, is_fully_used
+from fulmarroad._concurrency import (
+    ConcurrencyLimit,
+    Round,
+    is_fully_used,
+    relative_gain,
+)
 from fulmarroad._warmth import ServerHealth
 from fulmarroad.tables import Pool, PoolKind
 from fulmarroad.types import Outcome, Warmth
@@ -24,17 +29,17 @@
 
 @define
 class Engine:
-    """Give each running request its part of the batch; `kind` says what is past it."""
+    """Simulate an engine; `kind` selects its behaviour beyond a full batch."""
 
     kind: str
     batch: int = 8
-    rate: float = 40.0  # tokens a second of one request within the batch
+    rate: float = 40.0  # tokens per second of one request within the batch
     slow: float = 1.0
     jobs: list[Job] = field(factory=list)
-    given: float = 0.0
+    produced: float = 0.0
 
     def best(self):
-        """Return the most tokens a second that it can give."""
+        """Return the highest throughput in tokens per second."""
         return self.batch * self.rate / self.slow
 
     def rates(self):
@@ -50,22 +55,22 @@
         return [self.rate * share] * running
 
     def advance(self, now):
-        """Run one step and return the jobs that ended."""
+        """Simulate one step and return the jobs that ended."""
         for job, rate in zip(self.jobs, self.rates(), strict=False):
             tokens = rate * STEP_S / self.slow
             if tokens and job.first is None:
                 job.first = now
             job.done += tokens
-            self.given += tokens
+            self.produced += tokens
         ended = [job for job in self.jobs if job.done >= job.tokens]
         self.jobs = [job for job in self.jobs if job.done < job.tokens]
         return ended
 
 
 def saturate(health, engine, begin, end, seed=1):
-    """Keep the server's limit in full use; return the part of its best that it gave."""
+    """Keep the limit in full use; return the throughput as a share of the best."""
     lengths = random.Random(seed)
-    given = engine.given
+    produced_before = engine.produced
     now = begin
     while now < end:
         while len(engine.jobs) < health.limit(now):
@@ -84,7 +89,7 @@
                 full,
                 now,
             )
-    return (engine.given - given) / engine.best() / (end - begin)
+    return (engine.produced - produced_before) / engine.best() / (end - begin)
 
 
 def new_health(pool=POOL):
@@ -94,9 +99,10 @@
 class TestSaturation:
     @pytest.mark.parametrize("kind", ["loses", "shares", "queues", "always shares"])
     @pytest.mark.parametrize("batch", [4, 8, 24])
-    def test_the_limit_is_found_and_capacity_used(self, kind, batch):
-        # Work waits all the time. A limit below the batch idles the engine, one far
-        # above it makes some engines lose throughput and all of them slow.
+    def test_limit_is_found_and_capacity_used(self, kind, batch):
+        # Requests wait all the time. A limit below the batch size leaves the engine
+        # partly idle. One far above it slows down all engines and reduces the
+        # throughput of some.
         health = new_health()
         engine = Engine(kind, batch)
         saturate(health, engine, 0.0, 120.0)
@@ -105,9 +111,9 @@
         assert used >= 0.95
         assert health.limit(600.0) <= 1.6 * batch
 
-    def test_a_slow_server_keeps_its_own_best(self):
-        # One server of a pool is ten times as slow as its peers, for good, so that it
-        # misses every target. Taking its limit away for that would idle it as well.
+    def test_slow_server_keeps_its_best_limit(self):
+        # One server of a pool is permanently ten times as slow as its peers and misses
+        # every target. Lowering its limit for that would only leave it idle.
         health = new_health()
         engine = Engine("shares", 8)
         saturate(health, engine, 0.0, 120.0)
@@ -115,9 +121,9 @@
         saturate(health, engine, 120.0, 900.0)
         assert saturate(health, engine, 900.0, 3000.0) >= 0.95
 
-    def test_a_server_that_lost_its_batch_gets_a_lower_limit(self):
-        # An engine was restarted with a smaller batch while its limit stayed: answers
-        # crawl although nothing fails.
+    def test_limit_falls_after_the_batch_became_smaller(self):
+        # An engine restarts with a smaller batch while its limit stays the same:
+        # answers become very slow although none fails.
         health = new_health()
         engine = Engine("loses", 24)
         saturate(health, engine, 0.0, 200.0)
@@ -128,7 +134,7 @@
 
 class TestPlainService:
     @pytest.mark.parametrize("workers", [2, 8])
-    def test_the_limit_follows_latency_alone(self, workers):
+    def test_limit_follows_latency_alone(self, workers):
         pool = Pool("ledger", kind=PoolKind.PLAIN, max_concurrency=64)
         limit = ConcurrencyLimit(pool, 1)
         for _ in range(4000):
@@ -138,8 +144,8 @@
 
 
 class TestConcurrencyLimit:
-    def test_failures_of_one_round_lower_it_once(self):
-        # A network fault ends everything that a server runs at the same moment.
+    def test_simultaneous_failures_lower_the_limit_once(self):
+        # A network fault ends all running requests of a server at the same time.
         limit = ConcurrencyLimit(POOL, 20)
         for running in range(20, 0, -1):
             limit.note_failure(running)
@@ -155,10 +161,12 @@
         ("low", "high", "expected"),
         [(8.0, 10.0, 1.0), (8.0, 8.0, 0.0), (8.0, 9.0, 0.5), (None, 9.0, 1.0)],
     )
-    def test_followed_compares_with_proportion(self, low, high, expected):
-        assert followed(8, low, 10, high) == pytest.approx(expected)
+    def test_relative_gain_compares_throughput_with_the_limit(
+        self, low, high, expected
+    ):
+        assert relative_gain(8, low, 10, high) == pytest.approx(expected)
 
-    def test_answers_from_before_a_move_do_not_count(self):
+    def test_skipped_answers_do_not_count(self):
         collected = Round(skip=2)
         for _ in range(3):
             collected.note(4, 1.0, slow=True, full=True)
--- a/packages/fulmarroad/tests/test_fairqueue.py
+++ b/packages/fulmarroad/tests/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""The fair queue serves backlogged workspaces evenly and holds its gap bound."""
+"""Test that the fair queue serves backlogged workspaces by weight within its bound."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     return Demand(SHARD, name, workspace, weight, hint, waited, 60.0, avoid=avoid)
 
 
-def fill(queue, workspace, count, *, now=0.0, **more):
+def fill(queue, workspace, count, *, now=0.0, **demand_fields):
     for number in range(count):
-        queue.add(demand(f"{workspace}{number}", workspace, **more), "r1", now)
+        queue.add(demand(f"{workspace}{number}", workspace, **demand_fields), "r1", now)
 
 
 def serve(queue, cost=10.0, now=0.0):
@@ -36,7 +36,7 @@
 
 
 class TestOrder:
-    def test_a_flood_gets_no_more_than_a_small_workspace(self):
+    def test_flooding_workspace_gets_no_more_than_a_small_one(self):
         queue = FleetQueue()
         fill(queue, "flood", 100)
         fill(queue, "small", 10)
@@ -50,14 +50,14 @@
         served = [serve(queue) for _ in range(40)]
         assert served.count("a") == pytest.approx(30, abs=1)
 
-    def test_within_a_workspace_the_oldest_request_goes_first(self):
-        """A demand that moved here waited elsewhere before and keeps its place."""
+    def test_oldest_request_of_a_workspace_is_served_first(self):
+        """A demand moved from another shard keeps its original arrival time."""
         queue = FleetQueue()
         queue.add(demand("new"), "r1", 10.0)
         queue.add(demand("moved", waited=5.0), "r2", 10.1)
         assert queue.pop(now=10.2).demand.demand_id == "moved"
 
-    def test_one_huge_request_delays_others_by_its_own_share_only(self):
+    def test_huge_request_delays_others_by_its_own_share_only(self):
         queue = FleetQueue()
         fill(queue, "huge", 2, hint=1000.0)
         fill(queue, "small", 200)
@@ -70,17 +70,20 @@
         assert served.count("huge") == 2
         assert served.index("huge") <= 1
 
-    def test_a_demand_that_waits_already_is_not_queued_twice(self):
+    def test_queued_demand_is_not_queued_again(self):
         queue = FleetQueue()
         assert queue.add(demand("d"), "r1", 0.0)
         assert not queue.add(demand("d"), "r1", 0.1)
         assert len(queue) == 1
 
 
-class TestLift:
+class TestReturnFromIdle:
     def test_idle_time_earns_no_credit(self):
-        """A workspace is idle for long while another works. Without the lift it
-        would come back with the least counter and shut the other out."""
+        """A workspace returns after a long idle time in which another was served.
+
+        If its counter were not raised, it would have the least one and starve the
+        other workspace.
+        """
         queue = FleetQueue()
         fill(queue, "idle", 1)
         serve(queue)
@@ -91,8 +94,8 @@
         served = [serve(queue) for _ in range(20)]
         assert served.count("busy") == pytest.approx(10, abs=1)
 
-    def test_a_refund_from_before_an_idle_time_earns_no_credit(self):
-        """A lease with a far too high hint ends after its workspace was lifted."""
+    def test_refund_of_a_lease_from_a_former_era_earns_no_credit(self):
+        """A lease with a far too high hint ends after its workspace was idle."""
         queue = FleetQueue()
         fill(queue, "a", 1, hint=5000.0)
         early = queue.begin(queue.pop())
@@ -104,7 +107,7 @@
         served = [serve(queue) for _ in range(20)]
         assert served.count("a") <= 11
 
-    def test_what_was_used_while_nobody_waited_is_not_held_against_it(self):
+    def test_service_without_competition_does_not_count_against_a_workspace(self):
         queue = FleetQueue()
         for number in range(100):
             fill(queue, f"alone{number % 2}", 1)
@@ -117,9 +120,12 @@
 
 class TestCharges:
     @pytest.mark.parametrize("hint", [0.0, 1.0, 100.0, float("nan")])
-    def test_a_workspace_whose_hints_lie_gains_nothing(self, hint):
-        """Eight units are free at once and costs show only at the end. A liar that
-        hints at nothing would take all units, as its counter stays the least."""
+    def test_false_hints_gain_no_service(self, hint):
+        """Eight units are free at once and costs are known only at the end.
+
+        If grants charged the hint alone, a workspace that hints at a cost of 0 would
+        keep the least counter and get all units.
+        """
         queue = FleetQueue()
         fill(queue, "liar", 400, hint=hint)
         fill(queue, "honest", 400, hint=100.0)
@@ -134,9 +140,11 @@
             served[workspace] += 100.0
         assert served["liar"] <= served["honest"] + 8 * 100.0
 
-    def test_low_hints_take_no_more_units_of_a_burst(self):
-        """Two workspaces send a burst each. What a request of theirs costs is known
-        from before; only one of them hints at it."""
+    def test_low_hints_gain_no_units_in_a_burst(self):
+        """Two workspaces send a burst of requests whose costs are known already.
+
+        Only one of them sends correct hints; low hints must not gain units.
+        """
         queue = FleetQueue()
         for name in ("liar", "honest"):
             queue.finish(queue.adopt(name, 0.0), 100.0)
@@ -157,7 +165,7 @@
         queue.progress(charge, 40.0)
         assert queue.account("a").counter == 48.0
 
-    def test_the_end_replaces_what_was_charged(self):
+    def test_final_cost_replaces_the_charge(self):
         queue = FleetQueue()
         fill(queue, "a", 2, hint=100.0)
         charge = queue.begin(queue.pop())
@@ -166,7 +174,7 @@
         assert queue.account("a").counter == 7.0
         assert queue.account("a").served == 7.0
 
-    def test_an_adopted_lease_is_charged_but_not_told_again(self):
+    def test_adopted_service_is_charged_but_not_reported_again(self):
         queue = FleetQueue()
         charge = queue.adopt("a", 30.0)
         queue.finish(charge, 50.0)
@@ -175,10 +183,12 @@
 
 
 class TestEligible:
-    def test_a_demand_that_few_servers_fit_gets_the_first_that_does(self):
-        """Its turn comes while the wrong server is free, and its workspace is served
-        otherwise. Without being remembered it would need its turn and the right
-        server at one moment."""
+    def test_skipped_demand_is_served_first_once_it_is_eligible(self):
+        """A demand's turn comes while only a server that it avoids is free.
+
+        Another demand of its workspace is served instead. If the queue did not record
+        the skipped demand, its turn and a suitable server would have to coincide.
+        """
         queue = FleetQueue()
         queue.add(demand("picky", "a", avoid=("s1",)), "r1", 0.0)
         queue.add(demand("other", "a"), "r1", 1.0)
@@ -188,7 +198,7 @@
         queue.finish(queue.begin(taken), 500.0)
         assert queue.pop().demand.demand_id == "picky"
 
-    def test_nobody_else_is_held_up_by_it(self):
+    def test_ineligible_demand_does_not_block_others(self):
         queue = FleetQueue()
         queue.add(demand("picky", "a", avoid=("s1",)), "r1", 0.0)
         queue.add(demand("other", "a"), "r1", 1.0)
@@ -209,11 +219,11 @@
 
 
 class GapMachine(RuleBasedStateMachine):
-    """Serve workspaces in any order of arrivals, grants, reports and ends.
+    """Run arrivals, grants, reports and ends in any order.
 
-    Between two workspaces that stay backlogged the difference of charged service
-    never leaves a band as wide as two costs and the errors of the estimates of the
-    leases that run at once.
+    While two workspaces stay backlogged, the difference between their charged service
+    must stay within a band as wide as two costs plus the estimate errors of the leases
+    that run at once.
     """
 
     LARGEST = 100.0
@@ -224,7 +234,7 @@
         self.queue = FleetQueue()
         self.count = 0
         self.running = []
-        self.given = dict.fromkeys("abc", 0.0)
+        self.finished_service = dict.fromkeys("abc", 0.0)
         self.band = {}
 
     @rule(workspace=st.sampled_from("abc"), count=st.integers(1, 6))
@@ -254,7 +264,7 @@
     def end(self, index):
         charge, cost, _ = self.running.pop(index % len(self.running))
         self.queue.finish(charge, cost)
-        self.given[charge.workspace] += cost
+        self.finished_service[charge.workspace] += cost
 
     @invariant()
     def gap_is_bounded(self):
@@ -271,14 +281,14 @@
             assert high - low <= bound, pair
 
     @invariant()
-    def counters_of_the_backlogged_stay_together(self):
+    def counters_of_backlogged_workspaces_stay_close(self):
         levels = [row.counter for row in self.queue.backlogged()]
         bound = self.LARGEST + self.UNITS * self.LARGEST
         assert not levels or max(levels) - min(levels) <= bound
 
     def _charged(self, workspace):
         running = [r[0].amount for r in self.running if r[0].workspace == workspace]
-        return self.given[workspace] + sum(running)
+        return self.finished_service[workspace] + sum(running)
 
 
 GapMachine.TestCase.settings = settings(
--- a/packages/fulmarroad/tests/test_shares.py
+++ b/packages/fulmarroad/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Two schedulers of one shard never put more on a cold server than it bears."""
+"""Test that two schedulers of a shard never overload a cold server."""
 
 import pytest
 from attrs import define
@@ -48,9 +48,9 @@
         assert offered(book, "warm", 0.0) == list(range(8))
         assert book.free(2.0) == ()
 
-    def test_the_sides_of_a_split_share_the_units_of_a_warm_server(self):
-        # A switch fails inside a data centre. Each half elects a scheduler, and both
-        # still reach every backend server.
+    def test_sides_of_a_split_share_the_units_of_a_warm_server(self):
+        # A switch fails in a data centre and each half elects a scheduler, while both
+        # halves still reach every backend server.
         here, there = new_book(), new_book()
         for vm in ("a", "b"):
             here.lend(vm, 2.0, 0.0)
@@ -60,29 +60,30 @@
         assert not set(mine) & set(others)
         assert sorted(mine + others) == list(range(8))
 
-    def test_a_router_that_leaves_takes_its_share_along(self):
+    def test_recall_removes_the_share_of_a_router(self):
         book = new_book()
         for vm in VMS:
             book.lend(vm, 2.0, 0.0)
         book.recall("a")
         assert len(offered(book, "warm", 0.0)) < 8
 
-    def test_a_cold_server_waits_until_former_grants_have_lapsed(self):
+    def test_cold_server_is_offered_only_after_the_quarantine(self):
         book = new_book()
         for vm in VMS:
             book.lend(vm, 100.0, 0.0)
         assert offered(book, "cold", LEND_QUARANTINE_S - 0.1) == []
         assert offered(book, "cold", LEND_QUARANTINE_S) == [0, 1]
 
-    def test_after_a_hand_over_a_cold_server_need_not_wait(self):
+    def test_cold_server_is_offered_at_once_after_a_hand_over(self):
         book = new_book(handed_over=True)
         for vm in VMS:
             book.lend(vm, 100.0, 0.0)
         assert offered(book, "cold", 0.0) == [0, 1]
 
-    def test_most_of_the_vms_serve_a_cold_server_without_a_dead_one(self):
-        # One of four VMs dies while servers are cold. Its units would stay idle until
-        # the VM list catches up, and with one unit a cold server would never warm up.
+    def test_majority_of_vms_may_use_a_dead_routers_units_of_a_cold_server(self):
+        # One of four VMs dies while servers are cold. Otherwise its units would stay
+        # idle until the VM list is updated, and a server whose only cold unit is among
+        # them would never warm up.
         book = new_book()
         for vm in VMS:
             book.lend(vm, 100.0, 0.0)
@@ -90,34 +91,36 @@
         book.mark_lost("a", 10.0)
         assert offered(book, "cold", 10.0) == [0, 1]
 
-    def test_the_smaller_side_leaves_cold_servers_alone(self):
+    def test_minority_side_is_offered_no_cold_server(self):
         book = new_book()
         book.lend("a", 1000.0, 0.0)
         assert offered(book, "cold", 500.0) == []
 
-    def test_a_scheduler_that_misses_vms_waits_for_leases_out_of_sight(self):
-        # The scheduler's VM dies, and one more is cut off. That one may still run a
-        # request on the cold server's unit, which nobody here knows of.
+    def test_scheduler_that_misses_vms_waits_for_their_leases(self):
+        # The scheduler's VM dies and another VM becomes unreachable. That VM may still
+        # run a request on the cold server that the new scheduler doesn't know of.
         book = new_book()
         for vm in ("a", "b", "c"):
             book.lend(vm, 1000.0, 0.0)
         assert offered(book, "cold", LEASE_S) == []
         assert offered(book, "cold", LEASE_S + LEND_QUARANTINE_S) == [0, 1]
 
-    def test_two_halves_share_the_units_of_a_cold_server(self):
+    def test_equal_halves_share_the_units_of_a_cold_server(self):
         here, there = new_book(), new_book()
         for vm in VMS:
             book = here if vm in ("a", "b") else there
             book.lend(vm, 1000.0, 0.0)
-        late = LEASE_S + LEND_QUARANTINE_S
-        assert offered(here, "cold", late) + offered(there, "cold", late) in (
+        quarantine_end = LEASE_S + LEND_QUARANTINE_S
+        assert offered(here, "cold", quarantine_end) + offered(
+            there, "cold", quarantine_end
+        ) in (
             [0, 1],
             [1, 0],
         )
 
-    def test_a_changed_vm_list_needs_most_of_both_lists_for_a_while(self):
-        # The VM list drops three VMs that are in truth cut off and still serve by the
-        # old list: for them most of the VMs are on their own side.
+    def test_changed_vm_list_requires_a_majority_of_both_lists_at_first(self):
+        # The new VM list lacks three VMs that are only unreachable. They still use the
+        # old list, by which they are the majority.
         book = new_book(vms=("a", "b", "c", "d", "e"))
         for vm in ("a", "b"):
             book.lend(vm, 1000.0, 0.0)
@@ -125,8 +128,8 @@
         assert offered(book, "cold", 100.0) == []
         assert offered(book, "cold", 105.0) == [0, 1]
 
-    def test_a_lending_that_lapsed_begins_anew(self):
-        # A router was cut off for a while and may have lent to the other side.
+    def test_lapsed_lending_starts_a_new_quarantine(self):
+        # The routers were unreachable and may have lent to another scheduler.
         book = new_book()
         for vm in VMS:
             book.lend(vm, 2.0, 0.0)
@@ -150,13 +153,13 @@
             book.lend(vm, 100.0, 0.0)
         return book
 
-    def test_a_unit_that_runs_already_is_not_free(self):
+    def test_unit_of_an_adopted_lease_is_not_free(self):
         book = self.lent_book()
         self.adopt(book, Unit("cold", 0), Unit("cold", 0))
         assert offered(book, "cold", 0.0) == [1]
 
-    def test_a_limit_below_what_runs_grants_nothing_until_it_drains(self):
-        # A new scheduler knows a lower limit than the one under which requests began.
+    def test_nothing_is_granted_until_running_leases_fall_below_the_limit(self):
+        # A new scheduler has a lower limit than the one under which requests began.
         book = self.lent_book()
         self.adopt(book, *[Unit("warm", index) for index in range(8, 18)])
         assert offered(book, "warm", 0.0) == []
@@ -164,7 +167,7 @@
             book.release(f"l{Unit('warm', index)}", 0.0)
         assert offered(book, "warm", 0.0) == [0]
 
-    def test_leases_of_a_lost_router_stay_charged_until_their_deadline(self):
+    def test_leases_of_a_lost_router_hold_their_units_until_their_deadline(self):
         book = self.lent_book()
         self.adopt(book, Unit("warm", 0))
         book.mark_lost("a", 0.0)
@@ -175,7 +178,7 @@
 
 
 class TestLostShares:
-    def lose(self, lost=("a",)):
+    def book_with_lost_routers(self, lost=("a",)):
         book = new_book()
         for vm in VMS:
             if vm not in lost:
@@ -185,7 +188,7 @@
         return book
 
     def serve(self, book, now, *, first_s=0.2, outcome=Outcome.COMPLETED):
-        """Fill the warm server and end it all; return how much it was."""
+        """Fill the warm server, end all its requests and return their number."""
         units = [offer.unit for offer in book.free(now) if offer.unit.server == "warm"]
         for unit in units:
             book.take(unit, f"{unit}@{now}", "b", now)
@@ -194,27 +197,27 @@
             book.release(f"{unit}@{now}", now)
         return len(units)
 
-    def test_lost_shares_are_taken_up_one_by_one(self):
-        # VMs die and the VM list doesn't say so for minutes. Their share of every
-        # server would idle while work waits.
-        book = self.lose(lost=("a", "b"))
+    def test_units_of_lost_routers_are_taken_up_one_by_one(self):
+        # VMs die and the VM list lists them for minutes. Otherwise their share of every
+        # server would stay idle while requests wait.
+        book = self.book_with_lost_routers(lost=("a", "b"))
         counts = [self.serve(book, float(second)) for second in range(40)]
         first = counts[0]
         assert set(counts[: int(TAKE_UP_DELAY_S)]) == {first}
         assert max(b - a for a, b in zip(counts, counts[1:], strict=False)) == 1
         assert counts[-1] == 8 > first
 
-    def test_slow_answers_give_them_back(self):
-        # The lost routers are not dead but cut off, and use their share themselves.
-        book = self.lose(lost=("a", "b"))
+    def test_slow_answers_reduce_the_units_taken_up(self):
+        # The lost routers are only unreachable and still use their share themselves.
+        book = self.book_with_lost_routers(lost=("a", "b"))
         for second in range(30):
             before = self.serve(book, float(second))
         for second in range(30, 33):
             after = self.serve(book, float(second), first_s=2.5)
         assert after < before
 
-    def test_a_router_that_is_seen_again_has_its_share_back_at_once(self):
-        book = self.lose()
+    def test_returning_router_gets_its_share_back_at_once(self):
+        book = self.book_with_lost_routers()
         few = len(offered(book, "warm", 0.0))
         for second in range(30):
             self.serve(book, float(second))
@@ -222,8 +225,8 @@
         book.mark_seen("a")
         assert len(offered(book, "warm", 30.0)) == few
 
-    def test_a_cold_server_gains_nothing_on_the_smaller_side(self):
-        book = self.lose(lost=("a", "b", "c"))
+    def test_minority_side_takes_up_no_units_of_a_cold_server(self):
+        book = self.book_with_lost_routers(lost=("a", "b", "c"))
         assert offered(book, "cold", 500.0) == []
 
 
@@ -237,10 +240,11 @@
     started: bool = False
 
 
-class Split(RuleBasedStateMachine):
-    """Routers change sides, leases start late, schedulers forget, time passes.
+class SplitMachine(RuleBasedStateMachine):
+    """Move routers between sides, start leases late and restart schedulers.
 
-    Both schedulers reach the servers; what the routers really run is counted.
+    Both schedulers reach the servers. The invariants count the requests that the
+    routers actually run.
     """
 
     def __init__(self):
@@ -281,7 +285,7 @@
 
     @rule(seconds=st.sampled_from([0.5, 1.5, 4.0, 64.0]))
     def wait(self, seconds):
-        """Let time pass; routers renew their lendings as heartbeats come."""
+        """Let time pass while routers renew their lendings with each heartbeat."""
         self._pass(seconds)
         for lease_id, lease in list(self.leases.items()):
             if lease.deadline <= self.now:
@@ -294,7 +298,7 @@
         seconds=st.sampled_from([0.0, 0.0, 1.0, 64.0]),
     )
     def split(self, sides, seconds):
-        """Cut the routers into two sides and some that reach neither scheduler."""
+        """Split the routers into two sides and some that reach neither scheduler."""
         for vm, side in zip(VMS, sides, strict=True):
             if side != self.follows[vm]:
                 self._move(vm, side)
@@ -303,7 +307,7 @@
     def _move(self, vm, side):
         for lease_id, lease in list(self.leases.items()):
             if lease.router == vm and not lease.started:
-                del self.leases[lease_id]  # granted by one that it follows no more
+                del self.leases[lease_id]  # its scheduler is no longer followed
         self.follows[vm] = side
         self.moved_at = self.now
         if side is not None:
@@ -312,14 +316,14 @@
 
     @rule(side=st.sampled_from(SIDES))
     def lose(self, side):
-        """Let a side believe that all who do not follow it are dead."""
+        """Mark all routers that don't follow a side's scheduler as lost there."""
         for vm, followed in self.follows.items():
             if followed != side:
                 self.books[side].mark_lost(vm, self.now)
 
     @rule(side=st.sampled_from(SIDES))
     def restart(self, side):
-        """Replace a scheduler by one without memory."""
+        """Replace a scheduler by one without state."""
         self.books[side] = new_book(self.now)
         self.moved_at = self.now
         for lease_id, lease in list(self.leases.items()):
@@ -332,7 +336,7 @@
 
     @rule(pick=st.integers(0, 3), late=st.sampled_from([False, False, True]))
     def grant(self, pick, late):
-        """Grant on both sides all that is free, to be started now or late."""
+        """Grant all free units on both sides, to be started now or late."""
         for side in SIDES:
             followers = [vm for vm in VMS if self.follows[vm] == side]
             if followers:
@@ -366,7 +370,7 @@
     @precondition(lambda self: self.leases)
     @rule(pick=st.integers(0, 1000))
     def finish(self, pick):
-        """End a running lease; only the scheduler followed now hears of it."""
+        """End a running lease and release it at the scheduler followed now only."""
         running = [key for key, lease in self.leases.items() if lease.started]
         if running:
             self._drop(running[pick % len(running)])
@@ -379,20 +383,20 @@
         ]
 
     @invariant()
-    def the_cold_server_bears_it(self):
+    def cold_server_is_never_overloaded(self):
         assert len(self._running("cold")) <= POOL.cold_concurrency
 
     @invariant()
-    def the_warm_server_bears_it_once_nobody_moves(self):
+    def warm_server_is_not_overloaded_after_the_last_move(self):
         if self.now > self.moved_at + LEASE_S + LEND_QUARANTINE_S:
             units = self._running("warm")
             assert len(set(units)) == len(units) <= 8
 
 
-Split.TestCase.settings = settings(
+SplitMachine.TestCase.settings = settings(
     derandomize=True, deadline=None, max_examples=150, stateful_step_count=30
 )
-TestSplit = Split.TestCase
+TestSplit = SplitMachine.TestCase
 
 
 @pytest.mark.parametrize("routers", [1, 2, 3, 5])
--- a/packages/fulmarroad/tests/test_slots.py
+++ b/packages/fulmarroad/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""The book of units grants what is lent, and no more than a server bears."""
+"""Test that a server book grants only lent units and overloads no server."""
 
 import pytest
 from attrs import evolve
@@ -53,11 +53,11 @@
 
 
 class TestUnits:
-    def test_cold_servers_offer_their_cold_budget(self):
+    def test_cold_servers_have_their_cold_budget_free(self):
         book = new_book()
         assert len(book.free(START)) == len(SERVERS) * POOL.cold_concurrency
 
-    def test_a_taken_unit_is_not_free(self):
+    def test_taken_unit_is_not_free(self):
         book = new_book()
         unit = book.free(START)[0].unit
         book.take(unit, "l1", "a", START)
@@ -67,13 +67,13 @@
         book.release("l1", START)
         assert unit in [offer.unit for offer in book.free(START)]
 
-    def test_a_lease_that_is_not_known_changes_nothing(self):
+    def test_release_of_an_unknown_lease_changes_nothing(self):
         book = new_book()
         before = book.free(START)
         book.release("never", START)
         assert book.free(START) == before
 
-    def test_good_answers_warm_a_server_to_its_full_limit(self):
+    def test_good_answers_raise_a_server_to_its_full_limit(self):
         book = new_book()
         now = warm_up(book)
         assert set(warmths(book, now).values()) == {Warmth.WARM}
@@ -81,8 +81,8 @@
         row = book.status(now)[0]
         assert (row.limit, row.running, row.usable) == (8, 0, 8)
 
-    def test_one_server_that_fails_leaves_the_other_alone(self):
-        # One of two servers dies under load. Its requests fail, the other goes on.
+    def test_failing_server_does_not_affect_the_other(self):
+        # One of two servers dies under load and its requests fail.
         book = new_book()
         now = warm_up(book)
         changes = serve(book, now, only="s1", outcome=Outcome.FAILED)
@@ -92,10 +92,10 @@
         assert len(free_of(book, "s1", now + 1.0)) == 1
 
 
-class TestTables:
-    def test_a_server_taken_out_gets_no_new_work_at_once(self):
-        # Operators take a server out while it runs requests: those end, no other
-        # begins, and its book goes on.
+class TestTableChanges:
+    def test_server_taken_out_of_service_gets_no_new_work(self):
+        # Operators take a server out of service while it runs requests. These end
+        # normally and stay recorded until then, but no new ones begin.
         book = new_book()
         now = warm_up(book)
         book.take(Unit("s1", 0), "l1", "a", now)
@@ -107,8 +107,8 @@
         book.release("l1", now)
         assert book.status(now)[0].running == 0
 
-    def test_a_server_that_returns_is_cold(self):
-        # A data centre returns after a power cut. Its servers were warm when it left.
+    def test_returning_server_is_cold(self):
+        # A data centre returns after a power cut before which its servers were warm.
         book = new_book()
         now = warm_up(book)
         book.set_servers(POOL, SERVERS, [], now)
@@ -116,14 +116,14 @@
         assert [change.after for change in changes] == [Warmth.COLD] * 2
         assert len(book.free(now + 60)) == len(SERVERS) * POOL.cold_concurrency
 
-    def test_a_change_of_another_row_cools_nothing(self):
+    def test_change_of_pool_settings_keeps_servers_warm(self):
         book = new_book()
         now = warm_up(book)
         pool = evolve(POOL, max_concurrency=4)
         assert book.set_servers(pool, SERVERS, NAMES, now) == ()
         assert len(book.free(now)) == 2 * 4
 
-    def test_a_server_gone_from_the_table_is_forgotten(self):
+    def test_server_removed_from_the_table_is_dropped(self):
         book = new_book()
         now = warm_up(book)
         book.take(Unit("s1", 0), "l1", "a", now)
@@ -134,16 +134,16 @@
 
 
 class TestRestartDuringRamp:
-    def test_a_new_scheduler_continues_the_ramp_and_counts_what_runs(self):
-        # The scheduler's VM is replaced while a server warms up. Its successor hears
-        # of the budget and of the running requests from the routers; starting from
-        # the full limit, or from an empty book, would overload the server.
+    def test_new_scheduler_continues_the_ramp_and_counts_running_leases(self):
+        # The scheduler's VM is replaced while a server warms up. Its successor gets
+        # the budget and the running requests from the routers. Starting with the full
+        # limit or without the running requests would overload the server.
         former = new_book()
         now = START
         while warmths(former, now)["s1"] is not Warmth.WARMING:
             serve(former, now)
             now += 0.1
-            assert now < START + 60, "never began to warm up"
+            assert now < START + 60, "server did not begin to warm up"
         [row, _] = former.status(now)
         leases = [
             RunningLease(f"l{unit.index}", "d", "w", unit, 1.0, 50.0, 5.0)
@@ -163,7 +163,7 @@
 
 
 class TestInformed:
-    def test_a_book_knows_servers_by_answers_or_hints(self):
+    def test_answers_and_hints_make_a_server_informed(self):
         book = new_book()
         book.observe("s1", Outcome.COMPLETED, 0.1, 0.02, 10.0, START)
         assert [row.informed for row in book.status(START)] == [True, False]
@@ -172,10 +172,10 @@
 
 
 class TestEarlyJudgement:
-    """A ramp goes on answers that still run, each counted once."""
+    """Test that running answers advance a ramp, each counted once."""
 
-    def run_two(self, book):
-        """Judge two running answers of one server, the budget's need at the start."""
+    def judge_two_answers(self, book):
+        """Judge two running answers of a server, enough to raise its first budget."""
         for number in range(2):
             unit = next(o.unit for o in book.free(START) if o.unit.server == "s1")
             book.take(unit, f"l{number}", "a", START)
@@ -189,15 +189,15 @@
         return row.limit
 
     def test_budget_rises_while_the_answer_runs(self):
-        # Letters take ten seconds and more. If only whole answers counted, a data
-        # centre that returns would stand half idle for minutes.
+        # Long answers take ten seconds or more. If only whole answers counted, a
+        # returning data centre would be half idle for minutes.
         book = new_book()
-        self.run_two(book)
+        self.judge_two_answers(book)
         assert self.limit(book) == 2
 
     def test_whole_answer_is_not_counted_again(self):
         book = new_book()
-        self.run_two(book)
+        self.judge_two_answers(book)
         for _ in range(4):
             book.observe("s1", Outcome.COMPLETED, 0.1, 0.02, 99.0, START, "l1")
         assert self.limit(book) == 2
@@ -211,9 +211,9 @@
         assert self.limit(book) == 1
 
     def test_failure_after_an_early_judgement_still_counts(self):
-        # The server falls over in the middle of answers that began well.
+        # The server becomes overloaded in the middle of answers that began well.
         book = new_book()
-        self.run_two(book)
+        self.judge_two_answers(book)
         book.observe("s1", Outcome.FAILED, None, None, 0.0, START, "l1")
         assert self.limit(book) == 1
 
--- a/packages/fulmarroad/tests/test_totals.py
+++ b/packages/fulmarroad/tests/test_totals.py
@@ -1,4 +1,4 @@
-"""Service totals add up once, in any order, and close a gap at a bounded rate."""
+"""Test that service totals are added once, in any order, and gaps close gradually."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def backlogged(*names, now=0.0):
-    """Return a queue in which workspaces have waited for long, and its totals."""
+    """Return a queue with backlogged workspaces, and its totals."""
     queue = FleetQueue()
     for name in names:
         for number in range(100):
@@ -35,17 +35,17 @@
     return waiting.demand.workspace
 
 
-class TestAbsorb:
-    def test_service_elsewhere_counts_here(self):
+class TestReceiveReport:
+    def test_service_by_other_schedulers_is_added(self):
         queue, totals = backlogged("a", "b")
         totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
         totals.receive_report(report(2, ("a", 150.0, 0.0, 5)), 10.1)
         assert [serve(queue) for _ in range(5)] == ["b"] * 5
 
     @pytest.mark.parametrize("order", [(2, 3, 3), (3, 2, 3), (2, 2, 3), (3, 2, 2)])
-    def test_reports_twice_or_out_of_order_add_nothing(self, order):
-        """A network that doubles and reorders reports must not let a workspace
-        look served twice, or it would be shut out."""
+    def test_duplicate_and_reordered_reports_add_nothing(self, order):
+        """If duplicate or reordered reports were added again, the workspace would
+        appear to be served twice and would starve."""
         queue, totals = backlogged("a", "b")
         totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
         rows = {2: 150.0, 3: 175.0}
@@ -54,15 +54,17 @@
             totals.receive_report(row, 10.1)
         assert queue.account("a").counter == 75.0
 
-    def test_a_lost_report_is_made_up_for_by_the_next(self):
+    def test_next_report_includes_the_service_of_a_lost_one(self):
         queue, totals = backlogged("a")
         totals.receive_report(report(1, ("a", 100.0, 0.0, 5)), 10.0)
         totals.receive_report(report(9, ("a", 180.0, 0.0, 5)), 11.0)
         assert queue.account("a").counter == 80.0
 
-    def test_a_new_epoch_starts_from_its_own_sum(self):
-        """A scheduler is replaced by one with no memory, whose sum starts at 0. By
-        name alone its first report would look like service taken back."""
+    def test_new_epoch_starts_from_its_own_sum(self):
+        """A scheduler is replaced by one without state, whose sums start at 0.
+
+        If sums were not kept per epoch, its first report would reduce the counter.
+        """
         queue, totals = backlogged("a")
         totals.receive_report(report(7, ("a", 500.0, 0.0, 5)), 10.0)
         fresh = Epoch("r3", 1, 1)
@@ -70,18 +72,18 @@
         totals.receive_report(report(2, ("a", 20.0, 0.0, 5), epoch=fresh), 10.2)
         assert queue.account("a").counter == 20.0
 
-    def test_an_unknown_workspace_begins_at_its_lag(self):
+    def test_unknown_workspace_starts_at_its_reported_lag(self):
         queue, totals = backlogged("a")
         serve(queue, 40.0)
         totals.receive_report(report(1, ("b", 900.0, 25.0, 5)), 10.0)
         assert queue.account("b").counter == 65.0
 
-    def test_a_new_scheduler_takes_counters_from_the_first_report(self):
+    def test_new_scheduler_sets_counters_from_the_first_report(self):
         queue, totals = backlogged("a", "b", now=10.0)
         totals.receive_report(report(5, ("a", 9.0, 300.0, 5), ("b", 9.0, 0.0, 5)), 10.2)
         assert [serve(queue) for _ in range(10)] == ["b"] * 10
 
-    def test_a_workspace_backlogged_elsewhere_is_not_lifted_here(self):
+    def test_workspace_backlogged_elsewhere_keeps_its_counter(self):
         queue, totals = backlogged("a")
         totals.receive_report(report(1, ("b", 0.0, 0.0, 5)), 10.0)
         for _ in range(20):
@@ -90,9 +92,12 @@
         assert serve(queue) == "b"
         assert queue.account("b").counter == 10.0
 
-    def test_a_dead_schedulers_entries_age_out(self):
-        """A scheduler dies while a workspace waits only there. Kept for ever, its low
-        counter would hold the floor down for everybody who returns."""
+    def test_entries_of_a_dead_scheduler_expire(self):
+        """A scheduler dies while a workspace is backlogged only there.
+
+        If its entry did not expire, its low counter would keep the floor low for all
+        workspaces that return from idle.
+        """
         queue, totals = backlogged("a")
         totals.receive_report(report(1, ("b", 0.0, 0.0, 5)), 10.0)
         for _ in range(20):
@@ -101,7 +106,7 @@
         assert queue.account("b").counter == queue.account("a").counter
 
     @pytest.mark.parametrize("wrong", [float("nan"), float("inf"), float("-inf")])
-    def test_amounts_that_are_no_numbers_are_ignored(self, wrong):
+    def test_amounts_that_are_not_finite_are_ignored(self, wrong):
         queue, totals = backlogged("a")
         totals.receive_report(
             report(1, ("a", wrong, 0.0, 5), ("c", 1.0, wrong, 5)), 10.0
@@ -109,11 +114,11 @@
         assert queue.account("a").counter == 0.0
 
 
-class TestAfterACut:
-    """Two data centres lose each other for a minute and go on serving.
+class TestAfterPartition:
+    """Two data centres are partitioned for a minute and both keep serving.
 
-    What was served beyond the cut becomes known at once. Counted at once, a
-    workspace that was served there would get nothing here for as long.
+    The service on the other side is then reported all at once. If it were added at
+    once, the workspace served there would get no service here for as long.
     """
 
     @pytest.fixture
@@ -123,28 +128,28 @@
         totals.receive_report(report(2, ("served", 3000.0, 0.0, 5)), 70.0)
         return queue
 
-    def test_nobody_is_starved(self, rejoined):
+    def test_no_workspace_starves(self, rejoined):
         served = [serve(rejoined) for _ in range(30)]
         assert served.count("served") >= 9
 
-    def test_the_gap_closes_meanwhile(self, rejoined):
+    def test_gap_closes_gradually(self, rejoined):
         served = [serve(rejoined) for _ in range(60)]
         assert served.count("b") >= 1.8 * served.count("served")
 
-    def test_service_after_the_cut_counts_at_once(self, rejoined):
+    def test_late_service_becomes_debt(self, rejoined):
         before = rejoined.account("served").counter
         Totals(HERE, MINE, rejoined)
         assert before == 0.0
-        assert rejoined.account("served").owed == 3000.0
+        assert rejoined.account("served").debt == 3000.0
 
 
 class TestEntries:
-    def test_only_backlogged_workspaces_are_told(self):
+    def test_only_backlogged_workspaces_are_reported(self):
         queue, totals = backlogged("a")
         queue.adopt("idle", 50.0)
         assert [row.workspace for row in totals.entries(1.0)] == ["a"]
 
-    def test_service_to_one_that_waits_elsewhere_is_told(self):
+    def test_service_to_a_workspace_backlogged_elsewhere_is_reported(self):
         queue, totals = backlogged()
         totals.receive_report(report(1, ("a", 0.0, 0.0, 5)), 10.0)
         queue.add(Demand(HERE, "d", "a", 1.0, 10.0, 0.0, 60.0), "r1", 10.0)
@@ -153,26 +158,26 @@
         assert (row.workspace, row.served, row.waiting) == ("a", 10.0, 0)
         assert totals.pending_entries(10.2) == 0
 
-    def test_what_is_left_out_comes_next(self):
+    def test_next_report_contains_the_workspaces_left_out(self):
         queue, totals = backlogged(*(f"w{number}" for number in range(100)))
-        told = {row.workspace for row in totals.entries(1.0)}
-        told |= {row.workspace for row in totals.entries(1.1)}
-        assert len(told) == 100
+        sent = {row.workspace for row in totals.entries(1.0)}
+        sent |= {row.workspace for row in totals.entries(1.1)}
+        assert len(sent) == 100
 
 
-class TestSpread:
+class TestSpreadInterval:
     @pytest.mark.parametrize(("peers", "entries"), [(1, 1), (2, 16), (15, 64)])
     def test_reports_keep_within_the_control_budget(self, peers, entries):
         rows = [(f"workspace-{n:06d}", 123456.789, 98.7, 12) for n in range(entries)]
         size = len(encode(report(123456, *rows)))
         assert peers * size / spread_interval(peers, entries) <= 2500.0
 
-    def test_no_faster_than_the_least_interval(self):
+    def test_interval_is_not_below_the_minimum(self):
         assert spread_interval(0, 0) == 0.1
 
 
 class TestGapBound:
-    KNOWN = {
+    PARAMETERS = {
         "units": 8,
         "rate": 800.0,
         "interval_s": 0.1,
@@ -181,9 +186,11 @@
         "estimate_error": 10.0,
     }
 
-    def test_a_single_shard_has_no_part_for_reports(self):
-        assert gap_bound(shards=1, **self.KNOWN) == 2 * 50 + 2 * 8 * (50 + 10)
+    def test_bound_of_a_single_shard_has_no_terms_for_reports(self):
+        assert gap_bound(shards=1, **self.PARAMETERS) == 2 * 50 + 2 * 8 * (50 + 10)
 
-    def test_it_grows_with_the_spread_interval(self):
-        slow = gap_bound(shards=2, **{**self.KNOWN, "interval_s": 1.0})
-        assert slow - gap_bound(shards=2, **self.KNOWN) == pytest.approx(4 * 800 * 0.9)
+    def test_bound_grows_with_the_spread_interval(self):
+        slow = gap_bound(shards=2, **{**self.PARAMETERS, "interval_s": 1.0})
+        assert slow - gap_bound(shards=2, **self.PARAMETERS) == pytest.approx(
+            4 * 800 * 0.9
+        )
--- a/packages/fulmarroad/tests/test_warmth.py
+++ b/packages/fulmarroad/tests/test_warmth.py
@@ -1,4 +1,4 @@
-"""A backend server that is not warm gets no more work than it can bear."""
+"""Test that a backend server that is not warm is not overloaded."""
 
 import heapq
 import itertools
@@ -35,12 +35,12 @@
     while health.warmth is not Warmth.WARM:
         answer(health, now)
         answers += 1
-        assert answers < 2000, "never became warm"
+        assert answers < 2000, "server did not become warm"
     return health
 
 
-def reach(health, limit):
-    """Give good answers until the budget has risen to a limit."""
+def raise_budget(health, limit):
+    """Observe good answers until the budget has risen to a limit."""
     for _ in range(100):
         if health.limit(0.0) < limit:
             answer(health, 0.0)
@@ -49,28 +49,28 @@
 
 @define
 class ColdServer:
-    """Fall over when more runs than it bears; each answer makes it bear more."""
+    """Fail all requests when overloaded; each answer raises the capacity."""
 
-    bears_cold: int = 1
+    cold_capacity: int = 1
     answers_per_unit: float = 2.0
     batch: int = 16
     served: int = 0
-    falls: int = 0
+    overloads: int = 0
     running: list = field(factory=list)
     numbers: itertools.count = field(factory=itertools.count)
 
-    def bears(self):
+    def capacity(self):
         return min(
-            self.batch, self.bears_cold + int(self.served / self.answers_per_unit)
+            self.batch, self.cold_capacity + int(self.served / self.answers_per_unit)
         )
 
     def fill(self, health, now):
-        """Start whatever the budget allows, each for two seconds; fall if too much."""
+        """Start the two-second requests that the budget allows; fail if overloaded."""
         while len(self.running) < health.limit(now):
             heapq.heappush(self.running, (now + 2.0, next(self.numbers)))
-        if len(self.running) <= self.bears():
+        if len(self.running) <= self.capacity():
             return
-        self.falls += 1
+        self.overloads += 1
         self.served = 0
         while self.running:
             running = len(self.running)
@@ -78,15 +78,15 @@
             health.observe(Outcome.FAILED, None, None, 0.0, running, True, now)
 
     def end_one(self, health):
-        """End the request that is due next; return when."""
+        """End the request that is due next and return its time."""
         now, _ = heapq.heappop(self.running)
         self.served += 1
         answer(health, now, running=len(self.running) + 1)
         return now
 
 
-def play(server, health, until):
-    """Keep the server as busy as the budget allows; return when it became warm."""
+def run_saturated(server, health, until):
+    """Use the whole budget all the time; return when the server became warm."""
     now, warm_at = 0.0, None
     while now < until:
         server.fill(health, now)
@@ -98,54 +98,54 @@
 
 class TestColdStart:
     @pytest.mark.parametrize("cold", [1, 2, 4])
-    def test_a_cold_server_is_never_overloaded(self, cold):
-        # A server starts with empty caches and falls over under a warm one's load; its
-        # callers see errors and the restart begins anew.
+    def test_cold_server_is_never_overloaded(self, cold):
+        # A server with empty caches fails under the load of a warm one: its callers get
+        # errors and it has to restart.
         pool = Pool("drafting", max_concurrency=16, cold_concurrency=cold)
-        server, health = ColdServer(bears_cold=cold), new_health(pool)
-        warm_at = play(server, health, 120.0)
-        assert server.falls == 0
+        server, health = ColdServer(cold_capacity=cold), new_health(pool)
+        warm_at = run_saturated(server, health, 120.0)
+        assert server.overloads == 0
         assert warm_at is not None
         assert warm_at <= ramp_time(cold, 16, 2.0)
 
-    def test_a_server_that_warms_up_slowly_is_felled_a_few_times_at_most(self):
-        # A large model bears one more request only after each ten answers. The ramp
-        # can't know that at first, but it must not fell the server again and again.
+    def test_slowly_warming_server_is_overloaded_a_few_times_at_most(self):
+        # A large model can run one more request only after every ten answers. The ramp
+        # doesn't know that at first, but must not overload the server repeatedly.
         server, health = ColdServer(answers_per_unit=10.0), new_health()
-        warm_at = play(server, health, 1200.0)
-        assert server.falls <= 3
+        warm_at = run_saturated(server, health, 1200.0)
+        assert server.overloads <= 3
         assert warm_at is not None
 
-    def test_work_below_the_budget_proves_nothing(self):
+    def test_answers_below_half_of_the_budget_do_not_count(self):
         health = new_health()
         for _ in range(200):
             answer(health, 0.0, running=1)
             assert health.warmth is not Warmth.WARM
         assert health.limit(0.0) <= 3
 
-    def test_a_failure_while_warming_drops_back_to_cold(self):
+    def test_failure_while_warming_resets_to_cold(self):
         health = new_health()
-        reach(health, 4)
+        raise_budget(health, 4)
         [change] = answer(health, 1.0, outcome=Outcome.TIMED_OUT)
         assert (change.before, change.after) == (Warmth.WARMING, Warmth.COLD)
         assert health.limit(1.0) == POOL.cold_concurrency
 
-    def test_a_very_slow_answer_while_warming_drops_back_to_cold(self):
+    def test_very_slow_answer_while_warming_resets_to_cold(self):
         health = new_health()
-        reach(health, 4)
+        raise_budget(health, 4)
         answer(health, 1.0, first_s=20.0)
         assert health.warmth is Warmth.COLD
 
-    def test_a_target_that_no_server_meets_delays_the_ramp_only(self):
-        # Operators wrote a target of half of what the engines can do. Servers that
-        # were held cold for it would serve one request each for good.
+    def test_unreachable_target_only_delays_the_ramp(self):
+        # Operators set a target that engines can't meet. If this kept servers cold,
+        # each would run one request at a time forever.
         health = new_health()
         for _ in range(1000):
             answer(health, 0.0, first_s=4.0)
         assert health.warmth is Warmth.WARM
 
     @pytest.mark.parametrize(("cold", "goal"), [(1, 8), (1, 32), (4, 64)])
-    def test_ramp_time_counts_each_budget(self, cold, goal):
+    def test_ramp_time_covers_each_budget(self, cold, goal):
         budgets = list(ramp_budgets(cold, goal))
         assert budgets[0] == cold
         assert all(b <= max(a + 1, 1.5 * a) for a, b in itertools.pairwise(budgets))
@@ -153,10 +153,10 @@
         assert good_answers_needed(8, failed_ramps=1) == 2 * good_answers_needed(8)
 
 
-class TestSuddenCold:
-    def test_a_warm_server_that_turns_slow_is_cold_at_once(self):
-        # An engine restarts behind the same address. The router learns of it only by
-        # first tokens that take twenty times as long as they did.
+class TestWarmServerBecomesCold:
+    def test_suddenly_slow_warm_server_becomes_cold(self):
+        # An engine restarts behind the same address. The only sign of it is that first
+        # tokens take many times as long as before.
         health = warm_up(new_health())
         for _ in range(20):
             answer(health, 1.0)
@@ -165,7 +165,7 @@
         assert changes[2][0].after is Warmth.COLD
         assert health.limit(2.0) == POOL.cold_concurrency
 
-    def test_a_long_prompt_between_others_changes_nothing(self):
+    def test_single_long_prompts_change_nothing(self):
         health = warm_up(new_health())
         for _ in range(50):
             answer(health, 1.0)
@@ -179,7 +179,7 @@
         for _ in range(count):
             answer(health, now, outcome=Outcome.UNREACHABLE, first_s=None)
 
-    def test_a_dead_server_is_taken_out_and_probed_with_one_unit(self):
+    def test_dead_server_is_taken_out_and_probed_with_one_request(self):
         health = warm_up(new_health())
         self.fail(health, 10.0)
         assert health.warmth is Warmth.FAILING
@@ -188,21 +188,21 @@
         answer(health, 11.5)
         assert health.warmth is Warmth.COLD
 
-    def test_one_router_that_cannot_reach_it_takes_nobody_elses_server(self):
-        # The path between one VM and one server breaks. All other routers still reach
-        # the server and must not lose it.
+    def test_one_router_without_connection_does_not_take_a_server_out(self):
+        # The connection between one VM and the server breaks. The server must stay in
+        # service for all other routers, which still reach it.
         health = warm_up(new_health())
         for _ in range(100):
             answer(health, 1.0)
             answer(health, 1.0, outcome=Outcome.UNREACHABLE, first_s=None)
         assert health.warmth is Warmth.WARM
 
-    def test_a_burst_of_failures_counts_once(self):
+    def test_burst_of_failures_counts_once(self):
         health = warm_up(new_health())
         self.fail(health, 10.0, count=16)
         assert health.limit(11.0) == 1
 
-    def test_a_dead_server_is_probed_less_and_less_often(self):
+    def test_dead_server_is_probed_less_and_less_often(self):
         health = warm_up(new_health())
         self.fail(health, 0.0)
         now, probes = 0.0, []
@@ -216,9 +216,9 @@
         assert gaps == sorted(gaps)
         assert len(probes) <= 5 + 3600 / BACKOFF_CAP_S * 1.2
 
-    def test_a_flapping_server_waits_longer_each_time(self):
-        # A server crashes whenever it has been warm for a while. Each crash takes its
-        # running requests with it, so it must come back more and more slowly.
+    def test_flapping_server_waits_longer_each_time(self):
+        # A server crashes whenever it has been warm for a while. Each crash fails its
+        # running requests, so each return must take longer than the last.
         health = new_health()
         now, waits = 0.0, []
         for _ in range(8):
@@ -238,14 +238,14 @@
     def hint(self, warmth, limit, age_s=0.5):
         return ServerHint("s1", limit, warmth, age_s)
 
-    def test_a_new_scheduler_keeps_a_warm_server_warm(self):
+    def test_new_scheduler_keeps_a_warm_server_warm(self):
         health = new_health()
         health.adopt(self.hint(Warmth.WARM, 12), 0.0)
         assert (health.warmth, health.limit(0.0)) == (Warmth.WARM, 12)
 
-    def test_a_ramp_goes_on_where_it_was(self):
-        # The scheduler's VM is replaced in the middle of a cold ramp. Its successor
-        # knows only what the routers last heard, and must not go beyond it.
+    def test_ramp_continues_at_the_hinted_budget(self):
+        # The scheduler's VM is replaced in the middle of a ramp. Its successor knows
+        # only the budget last sent to the routers and must not exceed it.
         health = new_health()
         health.adopt(self.hint(Warmth.WARMING, 4), 0.0)
         assert health.limit(0.0) == 4
@@ -253,7 +253,7 @@
         assert health.limit(1.0) == 4
 
     @pytest.mark.parametrize(
-        ("hints", "limit"),
+        ("hints", "expected"),
         [
             ([(Warmth.WARM, 12, 11.0)], 1),
             ([(Warmth.WARM, 12, 5.0), (Warmth.COLD, 1, 1.0)], 1),
@@ -265,19 +265,21 @@
             ([(Warmth.WARM, 99, 1.0)], 16),
         ],
     )
-    def test_the_newest_and_then_the_most_careful_hint_counts(self, hints, limit):
+    def test_newest_hint_counts_or_the_lower_limit_of_equally_old_ones(
+        self, hints, expected
+    ):
         health = new_health()
-        for warmth, said, age_s in hints:
-            health.adopt(self.hint(warmth, said, age_s), 0.0)
-        assert health.limit(0.0) == limit
+        for warmth, limit, age_s in hints:
+            health.adopt(self.hint(warmth, limit, age_s), 0.0)
+        assert health.limit(0.0) == expected
 
-    def test_answers_outweigh_hints(self):
+    def test_hint_is_ignored_after_an_answer(self):
         health = new_health()
         answer(health, 0.0, outcome=Outcome.FAILED, first_s=None)
         health.adopt(self.hint(Warmth.WARM, 12), 0.0)
         assert health.warmth is Warmth.COLD
 
-    def test_a_server_taken_back_into_service_is_cold(self):
+    def test_server_taken_back_into_service_is_cold(self):
         health = warm_up(new_health())
         health.reset_to_cold("taken into service")
         assert health.limit(0.0) == POOL.cold_concurrency
