--- a/packages/fulmarroad/src/fulmarroad/_concurrency.py
+++ b/packages/fulmarroad/src/fulmarroad/_concurrency.py
@@ -202,7 +202,7 @@
 class _Trial:
     limit: int  # limit to restore on failure
     throughput: float | None
-    divisor: int
+    part: int
     for_slowness: bool
 
 
@@ -270,13 +270,13 @@
         return self._slow_rounds >= 2 and not self._slow_at_any_limit
 
     def _has_changed(self, finished: Round) -> bool:
-        expected, measured = self._hold_throughput, finished.throughput
-        if expected is None or measured is None:
-            self._hold_throughput = measured
+        expected, seen = self._hold_throughput, finished.throughput
+        if expected is None or seen is None:
+            self._hold_throughput = seen
             return False
         slower, faster = (
-            measured * CHANGE_FACTOR < expected,
-            measured > expected * CHANGE_FACTOR,
+            seen * CHANGE_FACTOR < expected,
+            seen > expected * CHANGE_FACTOR,
         )
         if not (slower or faster):
             return False
@@ -285,15 +285,15 @@
         return True
 
     def _start_trial(
-        self, finished: Round, running: int, divisor: int = PROBE_DIVISOR
+        self, finished: Round, running: int, part: int = PROBE_DIVISOR
     ) -> None:
         if self._down_next:
             self._slow_at_any_limit = False  # test a lower limit again
         too_slow = self._too_slow()
         if too_slow:
-            divisor = CLIMB_DIVISOR
-        self._trial = _Trial(self.limit, finished.throughput, divisor, too_slow)
-        step = max(1, self.limit // divisor)
+            part = CLIMB_DIVISOR
+        self._trial = _Trial(self.limit, finished.throughput, part, too_slow)
+        step = max(1, self.limit // part)
         down = too_slow or self._down_next
         self._set_limit(self.limit - step if down else self.limit + step, running)
         if self.limit == self._trial.limit:
@@ -311,7 +311,7 @@
     def _reject_trial(self, trial: _Trial, running: int) -> None:
         self._slow_at_any_limit = self._slow_at_any_limit or trial.for_slowness
         self._down_next = self.limit > trial.limit
-        climbed = trial.divisor == CLIMB_DIVISOR and not trial.for_slowness
+        climbed = trial.part == CLIMB_DIVISOR and not trial.for_slowness
         if climbed and trial.limit > CLIMB_DIVISOR:
             self._set_limit(trial.limit, running)  # a smaller step may still pay off
         else:
--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -104,7 +104,7 @@
     era_service: float = 0.0
     era: int = 0
     era_start: float = -math.inf
-    last_demand_at: float = -math.inf
+    asked: float = -math.inf
     seeded: bool = False
     waiting: list[Waiting] = field(factory=list)
     running: int = 0
@@ -197,7 +197,7 @@
         account.weight = sanitize(demand.weight) or 1.0
         if not account.active(now):
             account.reset_to_floor(self._floor(now), now)
-        account.last_demand_at = now
+        account.asked = now
         insort(account.waiting, waiting, key=attrgetter("arrival"))
         self._waiting[demand.demand_id] = waiting
         if len(account.waiting) == 1:
@@ -336,7 +336,7 @@
             and not account.running
             and (
                 account.counter <= self._highest_served
-                or now - account.last_demand_at > IDLE_FORGET_S
+                or now - account.asked > IDLE_FORGET_S
             )
         ]
         for name in idle:
--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -1,11 +1,12 @@
 """Units of a backend server that a scheduler may grant because routers lend them.
 
 This guards against a network split within a data centre while both sides still reach
-the same backend servers. Each side elects its own scheduler. If both granted the whole
-limit, every server would get twice the load; operators would see overloaded servers
-although the records of each side are consistent. Every unit therefore belongs to one
-router of the published VM list, by hash, and a scheduler grants it only while that
-router lends it. A router lends to the one scheduler that it follows.
+the same backend servers. Each side elects its own scheduler. If the two schedulers
+both granted the whole limit, every server would get twice the load; operators would
+see overloaded servers although the records of each side are consistent. Every unit
+therefore belongs to one router of the published VM list, by hash, and a scheduler
+grants it only while that router lends it. A router lends to the one scheduler that it
+follows.
 
 A lease outlives the lending under which it was granted, so a unit that changes sides
 can be used twice for the length of one lease. A warm server can bear that. A server
@@ -143,9 +144,7 @@
     def lost(self, server: ServerName, limit: int, now: float) -> list[int]:
         """Return the units below a limit of owners lost for `TAKE_UP_DELAY_S`."""
         long_lost = {
-            router
-            for router, since in self._lost.items()
-            if now >= since + TAKE_UP_DELAY_S
+            at for at, when in self._lost.items() if now >= when + TAKE_UP_DELAY_S
         }
         if not long_lost:
             return []
--- a/packages/fulmarroad/src/fulmarroad/_slots.py
+++ b/packages/fulmarroad/src/fulmarroad/_slots.py
@@ -49,7 +49,7 @@
 
     health: ServerHealth
     takes_work: bool = False
-    leases_by_unit: dict[int, int] = field(factory=dict)  # number of leases
+    held: dict[int, int] = field(factory=dict)  # leases by unit index
     running: int = 0
     judged: int = 0
     taken_up: int = 0
@@ -60,16 +60,16 @@
     free: tuple[FreeUnit, ...] | None = None
 
     def add_lease(self, index: int) -> None:
-        self.leases_by_unit[index] = self.leases_by_unit.get(index, 0) + 1
+        self.held[index] = self.held.get(index, 0) + 1
         self.running += 1
         self.free = None
 
     def remove_lease(self, index: int) -> None:
-        remaining = self.leases_by_unit[index] - 1
-        if remaining:
-            self.leases_by_unit[index] = remaining
+        left = self.held[index] - 1
+        if left:
+            self.held[index] = left
         else:
-            del self.leases_by_unit[index]
+            del self.held[index]
         self.running -= 1
         self.free = None
 
@@ -324,11 +324,7 @@
 
     def _is_free(self, unit: Unit, now: float) -> bool:
         server = self._servers.get(unit.server)
-        if (
-            server is None
-            or not server.takes_work
-            or unit.index in server.leases_by_unit
-        ):
+        if server is None or not server.takes_work or unit.index in server.held:
             return False
         usable = self._refresh(unit.server, server, now)
         return unit.index in usable and server.running < len(usable)
@@ -351,7 +347,7 @@
             return ()
         warmth = server.health.warmth
         limit = server.health.limit(now)
-        unused = [index for index in usable if index not in server.leases_by_unit]
+        unused = [index for index in usable if index not in server.held]
         return tuple(
             FreeUnit(Unit(name, index), warmth, server.running, limit)
             for index in unused[:available]
--- a/packages/fulmarroad/src/fulmarroad/_warmth.py
+++ b/packages/fulmarroad/src/fulmarroad/_warmth.py
@@ -361,14 +361,14 @@
             self._best_ratio += MEAN_RATIO_GAIN * (ratio - self._best_ratio)
 
     def _count_answer(
-        self, weight: float, seconds: float | None, running: int, running_before: int
+        self, worth: float, seconds: float | None, running: int, running_before: int
     ) -> tuple[WarmthChange, ...]:
         if 2 * running < self._budget:
             return ()  # less than half in use: no evidence for the budget
         counted = self._round.answers
-        self._round.note(running, seconds, slow=weight < 1.0, full=True)
+        self._round.note(running, seconds, slow=worth < 1.0, full=True)
         if self._round.answers > counted:
-            self._good_answers += weight
+            self._good_answers += worth
         if self._good_answers < good_answers_needed(self._budget, self._failed_ramps):
             return ()
         return self._raise_budget(running, running_before)
@@ -440,12 +440,10 @@
         self.concurrency.restart(limit, running)
         return self._change_warmth(Warmth.WARM, cause)
 
-    def _change_warmth(
-        self, new_warmth: Warmth, cause: str
-    ) -> tuple[WarmthChange, ...]:
+    def _change_warmth(self, after: Warmth, cause: str) -> tuple[WarmthChange, ...]:
         before = self.warmth
-        self.warmth = new_warmth
-        if new_warmth is Warmth.WARM:
+        self.warmth = after
+        if after is Warmth.WARM:
             self._failed_ramps = 0
         elif before is Warmth.WARMING:
             self._failed_ramps += 1
@@ -457,11 +455,11 @@
         self._slow_run = 0
         self._failure_run = 0
         self._mean_ratio = None
-        if new_warmth is not Warmth.WARM:
+        if after is not Warmth.WARM:
             self._best_ratio = math.inf
-        if before is new_warmth:
+        if before is after:
             return ()
-        return (WarmthChange(self.server, before, new_warmth, cause),)
+        return (WarmthChange(self.server, before, after, cause),)
 
     def _back_off(self, now: float) -> None:
         self._note_flap(now)
--- a/packages/fulmarroad/tests/test_shares.py
+++ b/packages/fulmarroad/tests/test_shares.py
@@ -110,10 +110,8 @@
         for vm in VMS:
             book = here if vm in ("a", "b") else there
             book.lend(vm, 1000.0, 0.0)
-        quarantine_end = LEASE_S + LEND_QUARANTINE_S
-        assert offered(here, "cold", quarantine_end) + offered(
-            there, "cold", quarantine_end
-        ) in (
+        late = LEASE_S + LEND_QUARANTINE_S
+        assert offered(here, "cold", late) + offered(there, "cold", late) in (
             [0, 1],
             [1, 0],
         )
--- a/packages/fulmarroad/tests/test_warmth.py
+++ b/packages/fulmarroad/tests/test_warmth.py
@@ -137,8 +137,8 @@
         assert health.warmth is Warmth.COLD
 
     def test_unreachable_target_only_delays_the_ramp(self):
-        # Operators set a target that engines can't meet. If this kept servers cold,
-        # each would run one request at a time forever.
+        # Operators set a target of half of what the engines can do. If that kept
+        # servers cold, each would run one request at a time forever.
         health = new_health()
         for _ in range(1000):
             answer(health, 0.0, first_s=4.0)
@@ -253,7 +253,7 @@
         assert health.limit(1.0) == 4
 
     @pytest.mark.parametrize(
-        ("hints", "expected"),
+        ("hints", "limit"),
         [
             ([(Warmth.WARM, 12, 11.0)], 1),
             ([(Warmth.WARM, 12, 5.0), (Warmth.COLD, 1, 1.0)], 1),
@@ -266,12 +266,12 @@
         ],
     )
     def test_newest_hint_counts_or_the_lower_limit_of_equally_old_ones(
-        self, hints, expected
+        self, hints, limit
     ):
         health = new_health()
-        for warmth, limit, age_s in hints:
-            health.adopt(self.hint(warmth, limit, age_s), 0.0)
-        assert health.limit(0.0) == expected
+        for warmth, hinted, age_s in hints:
+            health.adopt(self.hint(warmth, hinted, age_s), 0.0)
+        assert health.limit(0.0) == limit
 
     def test_hint_is_ignored_after_an_answer(self):
         health = new_health()
