--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -99,9 +99,9 @@
     def lend(self, router: RouterName, until: float, now: float) -> None:
         """Allow grants of a router's units until a time."""
         self._lost.pop(router, None)
-        lending = self._lendings.get(router)
-        if lending is not None and now < lending.until:
-            lending.until = max(lending.until, until)
+        held = self._lendings.get(router)
+        if held is not None and now < held.until:
+            held.until = max(held.until, until)
             return
         self._lendings[router] = Lending(now, until)
         self._generation += 1
@@ -191,9 +191,7 @@
                 lending.quarantine_over = True
 
     def _current_lenders(self, now: float) -> set[RouterName]:
-        return {
-            router for router, lending in self._lendings.items() if now < lending.until
-        }
+        return {router for router, held in self._lendings.items() if now < held.until}
 
     def _owners_of(self, server: ServerName, limit: int) -> list[RouterName]:
         owners = self._owners.setdefault(server, [])
--- a/packages/fulmarroad/tests/test_shares.py
+++ b/packages/fulmarroad/tests/test_shares.py
@@ -196,7 +196,7 @@
         return len(units)
 
     def test_units_of_lost_routers_are_taken_up_one_by_one(self):
-        # VMs die and the VM list lists them for minutes. Otherwise their share of every
+        # VMs die but stay on the VM list for minutes. Otherwise their share of every
         # server would stay idle while requests wait.
         book = self.book_with_lost_routers(lost=("a", "b"))
         counts = [self.serve(book, float(second)) for second in range(40)]
--- a/packages/fulmarroad/tests/test_warmth.py
+++ b/packages/fulmarroad/tests/test_warmth.py
@@ -156,7 +156,7 @@
 class TestWarmServerBecomesCold:
     def test_suddenly_slow_warm_server_becomes_cold(self):
         # An engine restarts behind the same address. The only sign of it is that first
-        # tokens take many times as long as before.
+        # tokens take more than twenty times as long as before.
         health = warm_up(new_health())
         for _ in range(20):
             answer(health, 1.0)
@@ -165,7 +165,7 @@
         assert changes[2][0].after is Warmth.COLD
         assert health.limit(2.0) == POOL.cold_concurrency
 
-    def test_single_long_prompts_change_nothing(self):
+    def test_two_slow_answers_in_a_row_change_nothing(self):
         health = warm_up(new_health())
         for _ in range(50):
             answer(health, 1.0)
