--- a/packages/fulmarroad/src/fulmarroad/_coordinator.py
+++ b/packages/fulmarroad/src/fulmarroad/_coordinator.py
@@ -1,7 +1,7 @@
 """The task that owns a router's coordination state and its streams to peers.
 
-Requests, peers, membership and configuration send it typed commands; it answers
-requests through the reply channel that their command carries.
+Requests, peers, membership and configuration send it typed commands. It answers a
+request on the reply channel of its command.
 """
 
 from __future__ import annotations
@@ -53,29 +53,30 @@
 Dial = Callable[[RouterName, PeerAddress], PeerStream]
 
 TICK_S = 0.05
-"""Progress is batched and deadlines are checked this often."""
+"""Interval at which progress reports are sent and deadlines are checked."""
 
 PAUSE_S = 1.0
-"""A gap between ticks above this is logged as a pause of the process."""
+"""Gap between ticks above which a pause of the process is logged."""
 
 REDIAL_S = 0.2
+"""Delay before a broken stream to a peer may be reopened."""
 
 
 @define
 class _Link:
-    """One stream that this router keeps to a peer."""
+    """Hold a stream to a peer; `outbox` is set while the stream is open."""
 
     scope: anyio.CancelScope
     outbox: Outbox | None = None
 
 
-def _declined(granted: Granted) -> m.Finished:
+def _declined_report(granted: Granted) -> m.Finished:
     lease = granted.lease
     return m.Finished(lease.shard, lease.lease_id, Outcome.DECLINED, 0.0)
 
 
 class Coordinator:
-    """Own the follower, the hosted schedulers and the streams to peers."""
+    """Run the follower, the hosted schedulers and the streams to peers in one task."""
 
     def __init__(
         self,
@@ -100,22 +101,22 @@
         self._links: dict[RouterName, _Link] = {}
         self._followers: dict[RouterName, tuple[int, Callable[[Any], None]]] = {}
         self._addresses: Mapping[RouterName, PeerAddress] = {}
-        self._handles = 0
-        self._ticked = clock()
+        self._last_handle = 0
+        self._last_tick_at = clock()
         self._group: TaskGroup | None = None
 
     @property
     def follower(self) -> Follower:
-        """Return the router's side of scheduling, for reading."""
+        """Return the follower; callers must only read from it."""
         return self._follower
 
     @property
     def roles(self) -> Roles:
-        """Return the hosted schedulers, for reading."""
+        """Return the hosted schedulers; callers must only read from them."""
         return self._roles
 
     def send_command(self, command: Any) -> None:
-        """Queue a command; it never blocks."""
+        """Queue a command without blocking."""
         self._send.send_nowait(command)
 
     async def request(self, ask: Ask) -> Granted | Rejected:
@@ -125,17 +126,17 @@
         try:
             return await receive.receive()
         except BaseException:
-            self._abandon(ask, receive)
+            self._cancel_request(ask, receive)
             raise
         finally:
             receive.close()
 
-    def _abandon(
+    def _cancel_request(
         self, ask: Ask, receive: MemoryObjectReceiveStream[Granted | Rejected]
     ) -> None:
-        """Withdraw a demand, or give its lease back if the grant crossed.
+        """Withdraw a cancelled demand, or return its lease if it was granted meanwhile.
 
-        Without this a lease that nobody runs would hold a unit until its deadline.
+        Otherwise an unused lease would occupy a unit until its deadline.
         """
         try:
             answer = receive.receive_nowait()
@@ -143,20 +144,20 @@
             self.send_command(Cancel(ask.demand_id))
             return
         if isinstance(answer, Granted):
-            self.send_command(NoteFinished(_declined(answer)))
+            self.send_command(NoteFinished(_declined_report(answer)))
 
     def on_attached(self, peer: RouterName, send: Callable[[Any], None]) -> int:
-        """Note a peer's stream."""
-        self._handles += 1
-        self.send_command(Attached(peer, self._handles, send))
-        return self._handles
+        """Register a stream opened by a peer, and return a handle for it."""
+        self._last_handle += 1
+        self.send_command(Attached(peer, self._last_handle, send))
+        return self._last_handle
 
     def on_message(self, peer: RouterName, message: Any) -> None:
-        """Take a message of a peer's stream."""
+        """Queue a message received on a peer's stream."""
         self.send_command(FromPeer(peer, message))
 
     def on_detached(self, peer: RouterName, handle: int) -> None:
-        """Note that a peer's stream ended."""
+        """Queue the end of the peer's stream with this handle."""
         self.send_command(Detached(peer, handle))
 
     async def run(self) -> None:
@@ -178,21 +179,21 @@
 
     def _submit(self, command: Submit, now: float) -> None:
         self._replies[command.ask.demand_id] = command.reply
-        self._decide(self._follower.submit(command.ask, now), now)
+        self._apply_decisions(self._follower.submit(command.ask, now), now)
 
     def _cancel(self, command: Cancel, now: float) -> None:
-        """Withdraw a demand; a grant that crossed the cancel is given back."""
+        """Withdraw a demand; a grant that arrives later is returned by `_reply`."""
         if self._replies.pop(command.demand_id, None) is not None:
-            self._decide(self._follower.withdraw(command.demand_id, now), now)
+            self._apply_decisions(self._follower.withdraw(command.demand_id, now), now)
 
     def _give_up(self, command: GiveUp, now: float) -> None:
         demand_id = command.rejection.demand_id
         if demand_id in self._replies:
-            self._decide(self._follower.withdraw(demand_id, now), now)
+            self._apply_decisions(self._follower.withdraw(demand_id, now), now)
             self._reply(command.rejection, now)
 
     def _note_started(self, command: NoteStarted, now: float) -> None:
-        self._decide(self._follower.started(command.lease_id, now), now)
+        self._apply_decisions(self._follower.started(command.lease_id, now), now)
 
     def _note_progress(self, command: NoteProgress, now: float) -> None:
         self._follower.progress(
@@ -200,59 +201,65 @@
         )
 
     def _note_finished(self, command: NoteFinished, now: float) -> None:
-        self._decide(self._follower.finished(command.report, now), now)
+        self._apply_decisions(self._follower.finished(command.report, now), now)
 
-    def _take_tables(self, command: SetTables, now: float) -> None:
-        self._host(self._roles.set_tables(command.tables, now), now)
-        self._decide(self._follower.set_tables(command.tables, now), now)
+    def _set_tables(self, command: SetTables, now: float) -> None:
+        self._send_role_outputs(self._roles.set_tables(command.tables, now), now)
+        self._apply_decisions(self._follower.set_tables(command.tables, now), now)
 
-    def _take_members(self, command: SetMembers, now: float) -> None:
+    def _set_members(self, command: SetMembers, now: float) -> None:
         self._addresses = command.addresses
-        self._host(self._roles.set_live(command.live, now), now)
-        self._decide(self._follower.set_live(command.live, now), now)
+        self._send_role_outputs(self._roles.set_live(command.live, now), now)
+        self._apply_decisions(self._follower.set_live(command.live, now), now)
 
-    def _take_vms(self, command: SetVms, now: float) -> None:
+    def _set_vms(self, command: SetVms, now: float) -> None:
         self._roles.set_vms(command.vms, now)
 
     def _step_down(self, command: StepDownAll, now: float) -> None:
-        self._host(self._roles.step_down(now), now)
+        self._send_role_outputs(self._roles.step_down(now), now)
         command.done.set()
 
     def _tick(self, command: Tick, now: float) -> None:
-        if now - self._ticked > PAUSE_S:
-            emit(logger, Event.CLOCK_PAUSE, seconds=round(now - self._ticked, 3))
-        self._ticked = now
-        self._decide(self._follower.tick(now), now)
-        self._host(self._roles.tick(now), now)
-        self._keep_links()
+        if now - self._last_tick_at > PAUSE_S:
+            emit(logger, Event.CLOCK_PAUSE, seconds=round(now - self._last_tick_at, 3))
+        self._last_tick_at = now
+        self._apply_decisions(self._follower.tick(now), now)
+        self._send_role_outputs(self._roles.tick(now), now)
+        self._open_wanted_links()
 
     def _from_peer(self, command: FromPeer, now: float) -> None:
         if isinstance(command.message, m.ServiceReport):
-            self._host(self._roles.receive_report(command.message, now), now)
+            self._send_role_outputs(
+                self._roles.receive_report(command.message, now), now
+            )
             return
-        self._host(self._roles.handle(command.peer, command.message, now), now)
+        self._send_role_outputs(
+            self._roles.handle(command.peer, command.message, now), now
+        )
 
     def _from_scheduler(self, command: FromScheduler, now: float) -> None:
-        self._decide(self._follower.handle(command.peer, command.message, now), now)
+        self._apply_decisions(
+            self._follower.handle(command.peer, command.message, now), now
+        )
 
     def _link_up(self, command: LinkUp, now: float) -> None:
-        self._decide(self._follower.link_up(command.peer, now), now)
+        self._apply_decisions(self._follower.link_up(command.peer, now), now)
 
     def _link_lost(self, command: LinkLost, now: float) -> None:
-        self._decide(self._follower.link_lost(command.peer, now), now)
+        self._apply_decisions(self._follower.link_lost(command.peer, now), now)
 
     def _attached(self, command: Attached, now: float) -> None:
         self._followers[command.peer] = (command.handle, command.send)
 
     def _detached(self, command: Detached, now: float) -> None:
-        """Forget a follower's stream, unless it opened a newer one meanwhile."""
+        """Remove a follower's stream, unless the follower has opened a newer one."""
         handle, _ = self._followers.get(command.peer, (0, None))
         if handle != command.handle:
             return
         del self._followers[command.peer]
-        self._host(self._roles.link_lost(command.peer, now), now)
+        self._send_role_outputs(self._roles.link_lost(command.peer, now), now)
 
-    def _decide(self, decisions: list[Decision], now: float) -> None:
+    def _apply_decisions(self, decisions: list[Decision], now: float) -> None:
         for decision in decisions:
             if isinstance(decision, SendTo):
                 self._send_to(decision, now)
@@ -267,13 +274,13 @@
                 after=change.after,
             )
         for centre in self._follower.centre_changes():
-            self._note_centre(centre)
+            self._record_centre_change(centre)
 
-    def _note_centre(self, change: CentreChange) -> None:
-        left = change.after is CentreState.OUT
+    def _record_centre_change(self, change: CentreChange) -> None:
+        is_out = change.after is CentreState.OUT
         emit(
             logger,
-            Event.CENTRE_LEFT if left else Event.CENTRE_RETURNED,
+            Event.CENTRE_LEFT if is_out else Event.CENTRE_RETURNED,
             data_centre=change.data_centre,
             before=change.before.value,
             after=change.after.value,
@@ -287,11 +294,14 @@
         )
 
     def _send_to(self, decision: SendTo, now: float) -> None:
-        """Send to a scheduler; without a stream, the hello at its start tells all."""
+        """Send a message to a scheduler, or drop it if there is no open stream.
+
+        The `Hello` sent when the stream opens contains the whole state.
+        """
         if decision.peer == self._router:
             self.send_command(FromPeer(self._router, decision.message))
             return
-        link = self._link_to(decision.peer)
+        link = self._get_link(decision.peer)
         if link is not None and link.outbox is not None:
             link.outbox.put(decision.message)
 
@@ -304,18 +314,20 @@
             except (anyio.BrokenResourceError, anyio.WouldBlock):
                 pass
         if isinstance(decision, Granted):
-            self._give_back(decision, now)
+            self._return_lease(decision, now)
 
-    def _give_back(self, granted: Granted, now: float) -> None:
-        """Return a lease whose caller left while the grant was on its way."""
-        self._decide(self._follower.finished(_declined(granted), now), now)
+    def _return_lease(self, granted: Granted, now: float) -> None:
+        """Return a lease whose request no longer waits for an answer."""
+        self._apply_decisions(
+            self._follower.finished(_declined_report(granted), now), now
+        )
 
-    def _host(self, outputs: list[RoleOutput], now: float) -> None:
+    def _send_role_outputs(self, outputs: list[RoleOutput], now: float) -> None:
         for output in outputs:
             if isinstance(output, ToFollower):
                 self._send_follower(output)
             else:
-                self._spread(output.report, now)
+                self._send_report(output.report, now)
 
     def _send_follower(self, output: ToFollower) -> None:
         if output.router == self._router:
@@ -325,8 +337,8 @@
         if send is not None:
             send(output.message)
 
-    def _spread(self, report: m.ServiceReport, now: float) -> None:
-        """Send a report once to each router that schedules for the pool."""
+    def _send_report(self, report: m.ServiceReport, now: float) -> None:
+        """Send a report once to each router that schedules a shard of the pool."""
         peers = {
             router
             for shard, router in self._follower.schedulers.items()
@@ -336,12 +348,15 @@
             if peer == self._router:
                 self.send_command(FromPeer(self._router, report))
                 continue
-            link = self._link_to(peer)
+            link = self._get_link(peer)
             if link is not None and link.outbox is not None:
                 link.outbox.put(report)
 
-    def _link_to(self, peer: RouterName) -> _Link | None:
-        """Return the stream to a peer, opening it if there is none."""
+    def _get_link(self, peer: RouterName) -> _Link | None:
+        """Return the link to a peer, and open a stream if there is none.
+
+        Return `None` if the peer's address is unknown.
+        """
         link = self._links.get(peer)
         if link is not None or self._group is None:
             return link
@@ -353,14 +368,14 @@
         self._group.start_soon(self._run_link, peer, address, link)
         return link
 
-    def _keep_links(self) -> None:
+    def _open_wanted_links(self) -> None:
         for peer in self._follower.wanted_peers():
-            self._link_to(peer)
+            self._get_link(peer)
 
     async def _run_link(
         self, peer: RouterName, address: PeerAddress, link: _Link
     ) -> None:
-        """Keep one stream until it breaks; a later message opens the next one."""
+        """Run a stream until it breaks, and allow a new one after `REDIAL_S`."""
         stream = self._dial(peer, address)
         outbox = Outbox(self._traffic)
 
@@ -371,7 +386,9 @@
         try:
             with link.scope:
                 await stream.attach(
-                    outbox, lambda message: self._take(peer, message), on_up
+                    outbox,
+                    lambda message: self._on_scheduler_message(peer, message),
+                    on_up,
                 )
         except TransportError as error:
             emit(logger, Event.LINK_LOST, peer=peer, cause=str(error))
@@ -384,7 +401,7 @@
         await anyio.sleep(REDIAL_S)
         self._links.pop(peer, None)
 
-    def _take(self, peer: RouterName, message: Any) -> None:
+    def _on_scheduler_message(self, peer: RouterName, message: Any) -> None:
         self.send_command(FromScheduler(peer, message))
 
     _HANDLERS: Mapping[type, Callable[..., None]] = {
@@ -394,9 +411,9 @@
         NoteStarted: _note_started,
         NoteProgress: _note_progress,
         NoteFinished: _note_finished,
-        SetTables: _take_tables,
-        SetMembers: _take_members,
-        SetVms: _take_vms,
+        SetTables: _set_tables,
+        SetMembers: _set_members,
+        SetVms: _set_vms,
         StepDownAll: _step_down,
         Tick: _tick,
         FromPeer: _from_peer,
--- a/packages/fulmarroad/src/fulmarroad/_follower.py
+++ b/packages/fulmarroad/src/fulmarroad/_follower.py
@@ -1,8 +1,9 @@
-"""The router's side of scheduling: whom to ask, and which grants to believe.
+"""Request leases from shard schedulers, and validate the grants they return.
 
-Load it answers: callers of one workspace arrive unevenly at many routers, so no
-router may choose a backend server by itself. It asks the scheduler of a shard and
-keeps every waiting demand and running lease, from which a lost scheduler is rebuilt.
+The callers of one workspace are spread unevenly over many routers, so a router cannot
+choose a backend server on its own: it asks the scheduler of a shard. The router keeps
+every waiting demand and running lease, from which the successor of a lost scheduler
+rebuilds its state.
 """
 
 from __future__ import annotations
@@ -39,20 +40,21 @@
     ShardId,
 )
 
-FOREIGN_IDLE_S = 30.0
-"""A shard of another data centre that was not asked for this long is let go.
+REMOTE_SHARD_IDLE_S = 30.0
+"""How long a shard of another data centre is followed after its last demand.
 
-Otherwise streams from every router to every scheduler would gather over time.
+Without a limit every router would in time keep a stream to every scheduler.
 """
 
 RETRY_AFTER_S = 1.0
+"""Delay before a retry that is suggested to a caller whose request is rejected here."""
 
 
 class Follower:
-    """Keep demands and leases, and ask the scheduler that this router follows.
+    """Keep this router's demands and leases, and request leases from schedulers.
 
-    Every method takes this router's clock and returns what to do; nothing here
-    touches a network.
+    Methods take `now` in seconds of this router's clock and return the decisions to
+    carry out. The class does no I/O.
     """
 
     def __init__(
@@ -61,8 +63,8 @@
         self._router = router
         self._incarnation = incarnation
         self._data_centre = data_centre
-        self._map = ShardMap()
-        self._lost = UnreachablePeers()
+        self._shard_map = ShardMap()
+        self._unreachable = UnreachablePeers()
         self._follows: dict[ShardId, Follow] = {}
         self._waiting = WaitingDemands()
         self._running = RunningLeases()
@@ -70,8 +72,8 @@
 
     @property
     def schedulers(self) -> Mapping[ShardId, RouterName]:
-        """Return who schedules each shard, as this router sees it."""
-        return self._map.schedulers
+        """Return the scheduler of each shard in this router's view."""
+        return self._shard_map.schedulers
 
     @property
     def follows(self) -> Mapping[ShardId, Follow]:
@@ -80,79 +82,84 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many demands wait."""
+        """Return the number of waiting demands."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Return how many leases run."""
+        """Return the number of running leases."""
         return len(self._running)
 
     @property
     def live(self) -> Mapping[DataCentreName, tuple[RouterName, ...]]:
-        """Return the routers that membership believes live, by data centre."""
-        return self._map.live
+        """Return the routers that are live according to membership, by data centre."""
+        return self._shard_map.live
 
     def changes(self) -> list[FollowChange]:
-        """Return the changes of scheduler since last asked."""
+        """Return the scheduler changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
     def centre_changes(self) -> list[CentreChange]:
-        """Return the changes of data centres since last asked."""
-        return self._map.changes()
+        """Return the data centre state changes since the last call."""
+        return self._shard_map.changes()
 
     def centre_state(self, data_centre: DataCentreName) -> CentreState:
-        """Return how far a data centre is in service."""
-        return self._map.centre_state(data_centre)
+        """Return the service state of a data centre."""
+        return self._shard_map.centre_state(data_centre)
 
     def wanted_peers(self) -> set[RouterName]:
-        """Return the peers to which a stream must be kept."""
+        """Return the peers to which this router must keep a stream open."""
         peers = {follow.scheduler for follow in self._follows.values()}
         return {peer for peer in peers if peer is not None and peer != self._router}
 
     def estimated_wait_s(self, pool: PoolName) -> float:
-        """Return the shortest wait that a shard of the pool reports, in seconds."""
-        beats = [
+        """Return the shortest wait that a shard of the pool reports, in seconds.
+
+        Return 0 if no heartbeat of the pool has been received.
+        """
+        heartbeats = [
             follow.heartbeat
             for shard, follow in self._follows.items()
             if shard.pool == pool and follow.heartbeat is not None
         ]
-        return min((beat.wait_s for beat in beats), default=0.0)
+        return min((heartbeat.wait_s for heartbeat in heartbeats), default=0.0)
 
     def set_tables(self, tables: Tables, now: float) -> list[Decision]:
-        """Take new tables; demands of shards that are gone ask elsewhere."""
-        self._map.set_tables(tables, now)
-        return self._reassign(now)
+        """Apply new tables, and place demands of removed shards elsewhere."""
+        self._shard_map.set_tables(tables, now)
+        return self._reassign_shards(now)
 
     def set_live(
         self, live: Mapping[DataCentreName, tuple[RouterName, ...]], now: float
     ) -> list[Decision]:
-        """Take the membership's view of live routers."""
-        self._map.set_live(live)
-        return self._reassign(now)
+        """Apply the membership's view of live routers."""
+        self._shard_map.set_live(live)
+        return self._reassign_shards(now)
 
     def submit(self, ask: Ask, now: float, moves: int = 0) -> list[Decision]:
-        """Ask for a lease; answer at once where no server could ever give one."""
-        if not self._map.open_shards(ask.pool):
+        """Request a lease; reject at once if no server of the pool takes new work."""
+        if not self._shard_map.open_shards(ask.pool):
             return [Rejected(ask.demand_id, RefusalReason.NO_SERVERS, RETRY_AFTER_S)]
         waiting = Waiting(ask, moves=moves)
         self._waiting.add(waiting)
         return self._place(waiting, now)
 
     def withdraw(self, demand_id: str, now: float) -> list[Decision]:
-        """Take a demand back."""
+        """Withdraw a waiting demand."""
         waiting = self._waiting.pop(demand_id)
         if waiting is None or waiting.shard is None:
             return []
-        return self._tell(waiting.shard, m.Withdraw(waiting.shard, demand_id))
+        return self._send_to_scheduler(
+            waiting.shard, m.Withdraw(waiting.shard, demand_id)
+        )
 
     def started(self, lease_id: str, now: float) -> list[Decision]:
-        """Report that the request of a lease is on its way to the backend server."""
+        """Report that the request of a lease was sent to its backend server."""
         shard = self._running.shard_of(lease_id)
         if shard is None:
             return []
-        return self._tell(shard, m.Started(shard, lease_id))
+        return self._send_to_scheduler(shard, m.Started(shard, lease_id))
 
     def progress(
         self,
@@ -161,21 +168,25 @@
         first_s: float | None = None,
         gap_s: float | None = None,
     ) -> None:
-        """Add service that a lease used; the next report tells it."""
+        """Add service used by a lease, to be sent with the next progress report."""
         self._running.use(lease_id, service, first_s, gap_s)
 
     def finished(self, report: m.Finished, now: float) -> list[Decision]:
-        """Report the end of a lease."""
+        """Remove a running lease and report its end to its scheduler."""
         shard = self._running.shard_of(report.lease_id)
         if shard is None:
             return []
         self._running.end(report.lease_id)
-        return self._tell(shard, report)
+        return self._send_to_scheduler(shard, report)
 
     def handle(
         self, peer: RouterName, message: m.RouterMessage, now: float
     ) -> list[Decision]:
-        """Take a message of the scheduler that is followed; ignore any other's."""
+        """Handle a message from a scheduler.
+
+        Messages of a router that is not the followed scheduler, or of another epoch,
+        are ignored; such grants are declined.
+        """
         follow = self._follows.get(message.shard)
         if isinstance(message, m.Grant):
             return self._on_grant(peer, follow, message, now)
@@ -195,33 +206,33 @@
         if isinstance(message, m.Refuse):
             return self._on_refuse(message)
         follow.handed_over = True
-        return self._pass_over(peer, now)
+        return self._replace_scheduler(peer, now)
 
     def link_up(self, peer: RouterName, now: float) -> list[Decision]:
-        """Say hello for each shard whose scheduler this peer is."""
+        """Send a `Hello` for each shard that this peer schedules."""
         decisions: list[Decision] = []
         for follow in self._follows.values():
             if follow.scheduler == peer:
-                decisions += self._hello(follow, now)
+                decisions += self._send_hello(follow, now)
         return decisions
 
     def link_lost(self, peer: RouterName, now: float) -> list[Decision]:
-        """Turn to the next scheduler in the order of each shard."""
-        return self._pass_over(peer, now)
+        """Move the shards of a peer whose stream broke to another scheduler."""
+        return self._replace_scheduler(peer, now)
 
     def tick(self, now: float) -> list[Decision]:
-        """Report progress, drop what is overdue and look for silent schedulers."""
-        self._map.tick(now)
+        """Report progress, reject overdue demands and replace silent schedulers."""
+        self._shard_map.tick(now)
         decisions = self._report_progress(now)
         decisions += self._reject_overdue(now)
-        decisions += self._check_silence(now)
+        decisions += self._replace_silent_schedulers(now)
         decisions += self._place_unplaced(now)
-        decisions += self._let_go_foreign(now)
+        decisions += self._unfollow_idle_remote_shards(now)
         return decisions
 
     def views(self, pool: PoolName, now: float) -> list[ShardView]:
-        """Return what this router knows of each shard that takes work."""
-        return [self._view(shard) for shard in self._map.open_shards(pool)]
+        """Return this router's view of each shard of a pool that takes new work."""
+        return [self._view(shard) for shard in self._shard_map.open_shards(pool)]
 
     def _view(self, shard: ShardId) -> ShardView:
         follow = self._follows.get(shard)
@@ -236,10 +247,12 @@
     def _place(self, waiting: Waiting, now: float) -> list[Decision]:
         ask = waiting.ask
         views = self.views(ask.pool, now)
-        shifted = [
-            view for view in views if self._map.may_go(view.shard, ask.demand_id, now)
+        accepting = [
+            view
+            for view in views
+            if self._shard_map.accepts_request(view.shard, ask.demand_id, now)
         ]
-        waiting.shard = choose_shard(shifted or views, avoid=(), key=ask.demand_id)
+        waiting.shard = choose_shard(accepting or views, avoid=(), key=ask.demand_id)
         if waiting.shard is None:
             return []
         return self._send_demand(waiting, now)
@@ -252,18 +265,18 @@
         follow = self._follows[shard]
         follow.last_used_at = now
         if decisions:
-            return decisions  # the hello carries the demand
-        return self._tell(shard, waiting.demand(now))
+            return decisions  # the Hello carries the demand
+        return self._send_to_scheduler(shard, waiting.demand(now))
 
     def _follow(self, shard: ShardId, now: float) -> list[Decision]:
-        """Begin to follow a shard's scheduler unless that is done."""
+        """Follow a shard's scheduler, unless this router already does."""
         if shard in self._follows:
             return []
         follow = Follow(shard, self.schedulers.get(shard), last_used_at=now)
         self._follows[shard] = follow
-        return self._hello(follow, now)
+        return self._send_hello(follow, now)
 
-    def _hello(self, follow: Follow, now: float) -> list[Decision]:
+    def _send_hello(self, follow: Follow, now: float) -> list[Decision]:
         if follow.scheduler is None:
             return []
         shard = follow.shard
@@ -281,57 +294,61 @@
         follow.record_hello(now)
         return [SendTo(follow.scheduler, hello)]
 
-    def _tell(self, shard: ShardId, message: m.SchedulerMessage) -> list[Decision]:
+    def _send_to_scheduler(
+        self, shard: ShardId, message: m.SchedulerMessage
+    ) -> list[Decision]:
         follow = self._follows.get(shard)
         if follow is None or follow.scheduler is None:
             return []
         return [SendTo(follow.scheduler, message)]
 
-    def _reassign(self, now: float) -> list[Decision]:
-        """Work out every shard's scheduler anew and turn to those that changed."""
-        self._map.assign(lambda router: self._lost.passed_over(router, now))
+    def _reassign_shards(self, now: float) -> list[Decision]:
+        """Recompute every shard's scheduler, and follow those that changed."""
+        self._shard_map.assign(
+            lambda router: self._unreachable.is_unreachable(router, now)
+        )
         decisions: list[Decision] = []
         for shard in list(self._follows):
-            decisions += self._refollow(shard, now)
-        for shard in self._map:
+            decisions += self._update_follow(shard, now)
+        for shard in self._shard_map:
             if shard.data_centre == self._data_centre:
                 decisions += self._follow(shard, now)
-        return decisions + self._place_lost(now)
+        return decisions + self._place_from_closed_shards(now)
 
-    def _refollow(self, shard: ShardId, now: float) -> list[Decision]:
+    def _update_follow(self, shard: ShardId, now: float) -> list[Decision]:
         follow = self._follows[shard]
-        known = shard in self._map
-        scheduler = self.schedulers.get(shard) if known else None
-        if known and scheduler == follow.scheduler:
+        listed = shard in self._shard_map
+        scheduler = self.schedulers.get(shard) if listed else None
+        if listed and scheduler == follow.scheduler:
             return []
         decisions: list[Decision] = []
         if follow.scheduler is not None:
             goodbye = m.Goodbye(shard, self._router)
             decisions.append(SendTo(follow.scheduler, goodbye))
         self._changes.append(FollowChange(shard, follow.scheduler, scheduler))
-        if not known:
+        if not listed:
             del self._follows[shard]
             return decisions
         follow.scheduler = scheduler
         follow.epoch = None
         follow.heartbeat = None
-        return decisions + self._hello(follow, now)
+        return decisions + self._send_hello(follow, now)
 
-    def _place_lost(self, now: float) -> list[Decision]:
-        """Ask elsewhere for demands whose shard takes no more work."""
+    def _place_from_closed_shards(self, now: float) -> list[Decision]:
+        """Move demands whose shard takes no more work to another shard."""
         decisions: list[Decision] = []
         for waiting in self._waiting:
             shard = waiting.shard
-            if shard is None or shard in self._map.open_shards(shard.pool):
+            if shard is None or shard in self._shard_map.open_shards(shard.pool):
                 continue
-            gone = m.Withdraw(shard, waiting.ask.demand_id)
-            decisions += self._tell(shard, gone)
+            withdrawal = m.Withdraw(shard, waiting.ask.demand_id)
+            decisions += self._send_to_scheduler(shard, withdrawal)
             decisions += self._place_or_reject(waiting, now)
         return decisions
 
     def _place_or_reject(self, waiting: Waiting, now: float) -> list[Decision]:
         ask = waiting.ask
-        if not self._map.open_shards(ask.pool):
+        if not self._shard_map.open_shards(ask.pool):
             self._waiting.pop(ask.demand_id)
             return [Rejected(ask.demand_id, RefusalReason.NO_SERVERS, RETRY_AFTER_S)]
         return self._place(waiting, now)
@@ -340,15 +357,15 @@
         self, peer: RouterName, follow: Follow | None, grant: m.Grant, now: float
     ) -> list[Decision]:
         waiting = self._waiting.at(grant.shard, grant.demand_id)
-        following = follow.epoch if follow and follow.scheduler == peer else None
-        hello_clock = follow.hello_sent_at if follow else now
-        server = self._map.server(grant.unit.server)
+        followed_epoch = follow.epoch if follow and follow.scheduler == peer else None
+        hello_sent_at = follow.hello_sent_at if follow else now
+        server = self._shard_map.server(grant.unit.server)
         if (
             waiting is None
             or server is None
-            or not grant_valid(grant, following, now, hello_clock)
+            or not grant_valid(grant, followed_epoch, now, hello_sent_at)
         ):
-            return self._decline(peer, grant, waiting, following, now)
+            return self._decline(peer, grant, waiting, followed_epoch, now)
         self._waiting.pop(grant.demand_id)
         lease = Lease(grant.lease_id, grant.shard, grant.unit, server, waiting.ask, now)
         self._running.add(lease)
@@ -359,36 +376,41 @@
         peer: RouterName,
         grant: m.Grant,
         waiting: Waiting | None,
-        following: Epoch | None,
+        followed_epoch: Epoch | None,
         now: float,
     ) -> list[Decision]:
-        """Give a grant back; the scheduler forgot the demand, so ask it again."""
+        """Return a grant, and submit its demand again.
+
+        A scheduler drops a demand when it grants it. The demand is not submitted again
+        for a grant of an outdated epoch.
+        """
         declined = m.Finished(grant.shard, grant.lease_id, Outcome.DECLINED, 0.0)
         decisions: list[Decision] = [SendTo(peer, declined)]
-        current = following is not None and following == grant.epoch
-        if waiting is not None and current:
+        is_current = followed_epoch is not None and followed_epoch == grant.epoch
+        if waiting is not None and is_current:
             decisions += self._place_or_reject(waiting, now)
         return decisions
 
     def _on_heartbeat(
-        self, follow: Follow, beat: m.Heartbeat, now: float
+        self, follow: Follow, heartbeat: m.Heartbeat, now: float
     ) -> list[Decision]:
-        follow.heartbeat = beat
+        follow.heartbeat = heartbeat
         follow.handed_over = False
-        for status in beat.servers:
-            # A scheduler that knows nothing of a server calls it cold; passed on as a
-            # hint that would chill a warm server at the next change of hands.
-            if beat.settled and status.informed:
+        for status in heartbeat.servers:
+            # A scheduler without information about a server reports it as cold. Passed
+            # on as a hint, that would make the next scheduler treat a warm server as
+            # cold.
+            if heartbeat.settled and status.informed:
                 follow.hints[status.server] = (status, now)
-        lend = m.Lend(follow.shard, beat.epoch, beat.clock, now)
-        return self._tell(follow.shard, lend)
+        lend = m.Lend(follow.shard, heartbeat.epoch, heartbeat.clock, now)
+        return self._send_to_scheduler(follow.shard, lend)
 
     def _on_move(self, move: m.Move, now: float) -> list[Decision]:
         waiting = self._waiting.at(move.shard, move.demand_id)
         if waiting is None:
             return []
         waiting.moves += 1
-        if move.target not in self._map or move.target not in self.schedulers:
+        if move.target not in self._shard_map or move.target not in self.schedulers:
             return self._send_demand(waiting, now)
         waiting.shard = move.target
         return self._send_demand(waiting, now)
@@ -399,19 +421,19 @@
         self._waiting.pop(refuse.demand_id)
         return [Rejected(refuse.demand_id, refuse.reason, refuse.retry_after_s)]
 
-    def _pass_over(self, peer: RouterName, now: float) -> list[Decision]:
+    def _replace_scheduler(self, peer: RouterName, now: float) -> list[Decision]:
         if peer == self._router:
             return []
-        self._lost.note(peer, now)
+        self._unreachable.mark_unreachable(peer, now)
         for follow in self._follows.values():
             if follow.scheduler == peer:
                 follow.epoch = None
-        return self._reassign(now)
+        return self._reassign_shards(now)
 
     def _report_progress(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
         for progress in self._running.report(now):
-            decisions += self._tell(progress.shard, progress)
+            decisions += self._send_to_scheduler(progress.shard, progress)
         return decisions
 
     def _reject_overdue(self, now: float) -> list[Decision]:
@@ -423,15 +445,15 @@
             decisions.append(Rejected(demand_id, reason, RETRY_AFTER_S))
         return decisions
 
-    def _check_silence(self, now: float) -> list[Decision]:
+    def _replace_silent_schedulers(self, now: float) -> list[Decision]:
         follows = self._follows.values()
         silent = {row.scheduler for row in follows if row.silent(now)}
         decisions: list[Decision] = []
         for peer in silent - {self._router}:
             if peer is not None:
-                decisions += self._pass_over(peer, now)
-        if self._lost.expire(now):
-            decisions += self._reassign(now)
+                decisions += self._replace_scheduler(peer, now)
+        if self._unreachable.expire(now):
+            decisions += self._reassign_shards(now)
         return decisions
 
     def _place_unplaced(self, now: float) -> list[Decision]:
@@ -441,13 +463,15 @@
                 decisions += self._place(waiting, now)
         return decisions
 
-    def _let_go_foreign(self, now: float) -> list[Decision]:
-        busy = self._waiting.shards | self._running.shards
+    def _unfollow_idle_remote_shards(self, now: float) -> list[Decision]:
+        in_use = self._waiting.shards | self._running.shards
         decisions: list[Decision] = []
         for shard, follow in list(self._follows.items()):
-            if shard.data_centre == self._data_centre or shard in busy:
+            if shard.data_centre == self._data_centre or shard in in_use:
                 continue
-            if now - follow.last_used_at > FOREIGN_IDLE_S:
-                decisions += self._tell(shard, m.Goodbye(shard, self._router))
+            if now - follow.last_used_at > REMOTE_SHARD_IDLE_S:
+                decisions += self._send_to_scheduler(
+                    shard, m.Goodbye(shard, self._router)
+                )
                 del self._follows[shard]
         return decisions
--- a/packages/fulmarroad/src/fulmarroad/_following.py
+++ b/packages/fulmarroad/src/fulmarroad/_following.py
@@ -1,4 +1,4 @@
-"""What a router keeps of its demands, its leases and the schedulers it follows."""
+"""State of a router's demands, its leases and the schedulers that it follows."""
 
 from __future__ import annotations
 
@@ -18,36 +18,45 @@
 )
 
 SILENCE_S = 3.0
-"""A scheduler that sent no heartbeat for this long is passed over.
+"""How long a scheduler may send nothing before its followers replace it.
 
-Its heartbeats come every second; a process that is frozen closes no stream, so
-without this its followers' callers would wait until membership notices.
+Schedulers send a heartbeat every second. A frozen process does not close its streams,
+so without this timeout callers would wait until membership detects the failure.
 """
 
 HELLO_TIMEOUT_S = 1.0
+"""How long a scheduler may take to answer a `Hello` before it is replaced."""
 
 UNREACHABLE_S = 3.0
-"""How long a peer whose stream broke is passed over before it is tried again.
+"""How long a peer whose stream broke is not used as a scheduler.
 
-Shorter makes followers run to and fro between two schedulers while a peer starts;
-longer leaves a returned peer unused. Membership has settled within this time.
+A shorter time makes followers alternate between two schedulers while a peer starts; a
+longer one leaves a recovered peer unused. Membership converges within this time.
 """
 
 PROGRESS_S = 0.5
-"""Shortest time between reports of progress; in it a request uses some twenty tokens,
-far less than the cost of one request, by which the gap is bounded anyway."""
+"""Minimum interval between progress reports.
+
+A request uses about twenty tokens in this time, far less than the cost of one request,
+which bounds the fairness gap in any case.
+"""
 
 PROGRESS_BYTES = 40
+"""Size of one lease in a progress report."""
+
 PROGRESS_BYTES_PER_S = 1500.0
-"""Budget of progress reports. A router with 108 running requests, as expected in two
-years, reports every 2.9 s; without a budget it alone would pass the control limit."""
+"""Maximum rate of progress reports of one router.
+
+A router with 108 running requests, the load expected in two years, reports every 2.9 s.
+Without this limit its progress reports alone would exceed the limit on control traffic.
+"""
 
 
 @frozen
 class Ask:
-    """Hold what a scheduler needs to know of one caller's request.
+    """Describe one caller's request to a scheduler.
 
-    `arrived` and `deadline` are readings of this router's clock.
+    `arrived` and `deadline` are in seconds of this router's clock.
     """
 
     demand_id: str
@@ -64,7 +73,10 @@
 
 @frozen
 class Lease:
-    """Hold a grant that this router accepted."""
+    """Hold a grant that this router accepted.
+
+    `granted` is the time of acceptance, in seconds of this router's clock.
+    """
 
     lease_id: str
     shard: ShardId
@@ -84,7 +96,7 @@
 
 @frozen
 class Granted:
-    """Tell the request that it may run."""
+    """Answer a request with the lease under which it may run."""
 
     demand_id: str
     lease: Lease
@@ -92,7 +104,7 @@
 
 @frozen
 class Rejected:
-    """Tell the request that it won't run."""
+    """Answer a request that will not run with the reason."""
 
     demand_id: str
     reason: RefusalReason
@@ -104,14 +116,17 @@
 
 @define
 class Waiting:
-    """Hold a demand that waits, and the shard that was asked."""
+    """Hold a waiting demand and the shard to which it was submitted."""
 
     ask: Ask
     shard: ShardId | None = None
     moves: int = 0
 
     def demand(self, now: float) -> m.Demand:
-        """Return the demand as its scheduler gets it now."""
+        """Return the message that submits the demand to its shard.
+
+        Raise `ValueError` if no shard has been chosen.
+        """
         ask = self.ask
         if self.shard is None:
             raise ValueError(f"demand {ask.demand_id} has no shard")
@@ -132,7 +147,7 @@
 
 @define
 class Running:
-    """Hold a lease that runs, and what of its service was reported."""
+    """Hold a running lease with its reported and unreported service."""
 
     lease: Lease
     charged: float = 0.0
@@ -141,7 +156,7 @@
     gap_s: float | None = None
 
     def snapshot(self, now: float) -> m.RunningLease:
-        """Return the lease as a new scheduler gets it, with all service so far."""
+        """Return the lease for a new scheduler, and mark all service as reported."""
         self.charged += self.unreported
         self.unreported = 0.0
         lease = self.lease
@@ -158,29 +173,33 @@
 
 @define
 class UnreachablePeers:
-    """Remember whose streams broke, to pass them over for a while."""
+    """Hold the peers whose streams broke, which are not used for `UNREACHABLE_S`."""
 
     _until: dict[RouterName, float] = field(factory=dict)
 
-    def note(self, peer: RouterName, now: float) -> None:
-        """Pass a peer over from now on."""
+    def mark_unreachable(self, peer: RouterName, now: float) -> None:
+        """Mark a peer as unreachable from `now` on."""
         self._until[peer] = now + UNREACHABLE_S
 
-    def passed_over(self, peer: RouterName, now: float) -> bool:
-        """Tell whether a peer is passed over."""
+    def is_unreachable(self, peer: RouterName, now: float) -> bool:
+        """Return whether a peer is marked as unreachable."""
         return self._until.get(peer, now) > now
 
     def expire(self, now: float) -> bool:
-        """Forget those whose time is over; tell whether there were any."""
-        back = [peer for peer, until in self._until.items() if until <= now]
-        for peer in back:
+        """Remove marks that have expired, and return whether there were any."""
+        expired = [peer for peer, until in self._until.items() if until <= now]
+        for peer in expired:
             del self._until[peer]
-        return bool(back)
+        return bool(expired)
 
 
 @define
 class Follow:
-    """Hold how this router stands with the scheduler of one shard."""
+    """Hold this router's relation to the scheduler of one shard.
+
+    `epoch` is `None` until the scheduler has answered the last `Hello`. Times are in
+    seconds of this router's clock.
+    """
 
     shard: ShardId
     scheduler: RouterName | None = None
@@ -193,18 +212,18 @@
     hints: dict[ServerName, tuple[m.ServerStatus, float]] = field(factory=dict)
 
     def record_hello(self, now: float) -> None:
-        """Note that the scheduler is greeted and has to answer."""
+        """Record that a `Hello` was sent and a `Welcome` is expected."""
         self.epoch = None
         self.hello_sent_at = now
         self.last_message_at = now
 
     def silent(self, now: float) -> bool:
-        """Tell whether the scheduler has not been heard for too long."""
+        """Return whether the scheduler has sent nothing for too long."""
         limit = SILENCE_S if self.epoch is not None else HELLO_TIMEOUT_S
         return self.scheduler is not None and now - self.last_message_at > limit
 
     def hints_snapshot(self, now: float) -> tuple[m.ServerHint, ...]:
-        """Return what is known of the shard's servers, as a new scheduler gets it."""
+        """Return hints about the shard's servers for a new scheduler."""
         return tuple(
             m.ServerHint(name, status.limit, status.warmth, now - at)
             for name, (status, at) in self.hints.items()
@@ -213,7 +232,7 @@
 
 @frozen
 class FollowChange:
-    """Say that a shard's scheduler is another router now, for the log."""
+    """Record a change of a shard's scheduler, for the log."""
 
     shard: ShardId
     before: RouterName | None
@@ -221,5 +240,5 @@
 
 
 def progress_interval(running: int) -> float:
-    """Return the seconds between progress reports of a router's running leases."""
+    """Return the interval between progress reports of `running` leases, in seconds."""
     return max(PROGRESS_S, running * PROGRESS_BYTES / PROGRESS_BYTES_PER_S)
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -1,9 +1,9 @@
-"""Move waiting demands to shards of the pool that would serve them sooner or fairer.
+"""Move waiting demands to shards of the pool that serve them sooner or more fairly.
 
-Load it answers: tenants spread unevenly over shards, and a shard that slows or drains.
-Without it one shard's units idle while another's queue grows, and two workspaces
-queued at different shards get very different service. Demands are withdrawn first
-and resubmitted by their router, so that none is ever granted twice.
+Workspaces are spread unevenly over shards, and a shard can slow down or drain. Without
+moves one shard's units idle while another's queue grows, and two workspaces queued at
+different shards get very different service. A router withdraws a demand from its shard
+before it submits it to another one, so that no demand is granted twice.
 """
 
 from __future__ import annotations
@@ -19,30 +19,42 @@
 from fulmarroad.types import ShardId, WorkspaceName
 
 MAX_MOVES = 3
-"""Moves of one demand; a demand that was unlucky three times stays where it is."""
+"""Maximum number of moves of one demand; after three it stays in its shard."""
 
 FRESH_S = 2.5
-"""A report older than this tells nothing of free units; a little above the interval
-at which idle schedulers report."""
+"""Maximum age of a report that is used to plan moves.
 
-AHEAD_INTERVALS = 2.0
-LEAST_AHEAD_S = 0.3
-"""Work is sent ahead of the units that will be free until the next report, as a unit
-that frees in between would idle until then; twice the interval, for reports that come
-late. The least is three of the shortest intervals."""
+It is slightly longer than the interval at which idle schedulers report.
+"""
+
+LOOKAHEAD_INTERVALS = 2.0
+"""Report intervals for which demands are sent to units that are not free yet.
+
+A unit that becomes free between two reports would otherwise idle until the next one.
+Twice the interval allows for reports that arrive late.
+"""
+
+MIN_LOOKAHEAD_S = 0.3
+"""Minimum time for which demands are sent ahead: three of the shortest intervals."""
 
-LEAST_AHEAD_SHARE = 0.25
-"""Long requests end rarely but often together, as they were granted together; then a
-quarter of the units has work at hand."""
+MIN_LOOKAHEAD_SHARE = 0.25
+"""Minimum number of demands sent ahead, as a fraction of the shard's units.
+
+Long requests end rarely, but often together because they were granted together. A
+quarter of the units then has demands waiting in the shard.
+"""
 
 FAIR_SHARE = 0.5
-"""Part of another shard's units that demands of lagging workspaces may be sent for
-with each report: enough to catch up, too little to swamp it if several send."""
+"""Demands of lagging workspaces sent per report, as a fraction of the target's units.
+
+This lets a lagging workspace catch up without overloading the target if several shards
+send to it.
+"""
 
 
 @frozen
 class Handover:
-    """Say which waiting demand goes to which shard."""
+    """Assign a waiting demand to another shard."""
 
     demand_id: str
     target: ShardId
@@ -50,63 +62,74 @@
 
 @define
 class PeerShard:
-    """Hold what another shard of the pool last reported, and what it may still get."""
+    """Hold the last report of another shard and the quotas left for moves to it.
+
+    A quota is the number of demands that this shard may still send before the next
+    report.
+    """
 
     shard: ShardId
     capacity: int
     waiting: int
-    at: float
+    reported_at: float
     free_quota: int
-    ahead_quota: int
+    lookahead_quota: int
     fair_quota: int
     backlogged: tuple[WorkspaceName, ...]
 
 
 class Rebalancer:
-    """Plan moves from this shard, a bounded number for each report heard."""
+    """Plan moves from this shard, a bounded number per received report."""
 
     def __init__(self, shard: ShardId) -> None:
         self._shard = shard
         self._peers: dict[ShardId, PeerShard] = {}
 
     def note(self, report: ServiceReport, mean_s: float, now: float) -> None:
-        """Take the newest report of another shard; its quotas begin anew."""
+        """Store the newest report of another shard and reset the quotas for it.
+
+        `mean_s` is the mean duration of a request, in seconds.
+        """
         if report.shard == self._shard:
             return
-        sources = self._sources(report.shard, now)
+        sources = self._count_sources(report.shard, now)
         unused = max(0, report.free - report.waiting)
-        known = self._peers.get(report.shard)
-        interval = min(FRESH_S, now - known.at) if known else 0.0
+        previous = self._peers.get(report.shard)
+        interval = min(FRESH_S, now - previous.reported_at) if previous else 0.0
         ahead = lookahead(report.capacity, mean_s, interval)
-        room = max(0, report.free + ahead - report.waiting)
+        available = max(0, report.free + ahead - report.waiting)
         self._peers[report.shard] = PeerShard(
             report.shard,
             report.capacity,
             report.waiting,
             now,
-            _shared(unused, sources),
-            _shared(room, sources) - _shared(unused, sources),
-            _shared(int(report.capacity * FAIR_SHARE), sources),
+            _split_evenly(unused, sources),
+            _split_evenly(available, sources) - _split_evenly(unused, sources),
+            _split_evenly(int(report.capacity * FAIR_SHARE), sources),
             tuple(entry.workspace for entry in report.entries if entry.waiting),
         )
 
     def wanted_elsewhere(self, now: float) -> bool:
-        """Tell whether another shard has work waiting, so that free units are news."""
-        return any(peer.waiting for peer in self._fresh(now))
+        """Return whether another shard has demands that free units could serve."""
+        return any(peer.waiting for peer in self._recent_peers(now))
 
     def plan(
         self, queue: FleetQueue, *, units: int, mean_s: float, now: float
     ) -> list[Handover]:
-        """Return the moves that are due from a shard whose units are all in use."""
+        """Return the moves from this shard, whose units are all in use.
+
+        `units` is the number of this shard's units and `mean_s` the mean duration of a
+        request, in seconds.
+        """
         if not len(queue):
             return []
-        moves = self._to_free_units(queue, lookahead(units, mean_s, 0.0), now)
-        taken = {move.demand_id for move in moves}
-        return moves + self._to_fairer_shards(queue, taken, now)
+        moves = self._moves_to_free_units(queue, lookahead(units, mean_s, 0.0), now)
+        already_moved = {move.demand_id for move in moves}
+        return moves + self._moves_to_fairer_shards(queue, already_moved, now)
 
     def drain(self, queue: FleetQueue, now: float) -> list[Handover]:
-        """Return moves of every waiting demand to shards with capacity, in turn."""
-        targets = [peer for peer in self._fresh(now) if peer.capacity]
+        """Return moves of all waiting demands, round-robin to shards with capacity."""
+        targets = [peer for peer in self._recent_peers(now) if peer.capacity]
         if not targets:
             return []
         targets.sort(key=lambda peer: (peer.waiting / peer.capacity, peer.shard))
@@ -115,118 +138,126 @@
             for index, row in enumerate(queue)
         ]
 
-    def _to_free_units(
-        self, queue: FleetQueue, own_ahead: int, now: float
+    def _moves_to_free_units(
+        self, queue: FleetQueue, own_lookahead: int, now: float
     ) -> list[Handover]:
-        """Send those next in line, so that no unit idles while work waits.
+        """Return moves of the next demands to shards with units free now or soon.
 
-        A shard gets what its free units can take, and as many more as it ends before
-        it is heard again; for those, as many as this shard itself ends stay here.
+        A shard gets a demand for each free unit, and one for each request that it is
+        expected to end before its next report. Of the latter kind only those are sent
+        that exceed what this shard itself is expected to end in the same time.
         """
-        peers = sorted(self._fresh(now), key=self._distance)
+        peers = sorted(self._recent_peers(now), key=self._locality_key)
         targets = [peer for peer in peers for _ in range(peer.free_quota)]
-        spare = max(0, len(queue) - len(targets) - own_ahead)
-        ahead = [peer for peer in peers for _ in range(peer.ahead_quota)]
+        spare = max(0, len(queue) - len(targets) - own_lookahead)
+        ahead = [peer for peer in peers for _ in range(peer.lookahead_quota)]
         targets += ahead[:spare]
         if not targets:
             return []
         moves = []
-        for peer, row in zip(targets, _by_turn(queue), strict=False):
+        for peer, row in zip(targets, _round_robin(queue), strict=False):
             moves.append(Handover(row.demand.demand_id, peer.shard))
             if peer.free_quota:
                 peer.free_quota -= 1
             else:
-                peer.ahead_quota -= 1
+                peer.lookahead_quota -= 1
         return moves
 
-    def _to_fairer_shards(
-        self, queue: FleetQueue, taken: set[str], now: float
+    def _moves_to_fairer_shards(
+        self, queue: FleetQueue, already_moved: set[str], now: float
     ) -> list[Handover]:
-        """Send demands of lagging workspaces to where only others are served.
+        """Return moves of lagging workspaces' demands to shards that serve others.
 
-        A shard that serves somebody whose counter is above a lagging workspace's by
-        more than the threshold would, with that workspace's demands, serve it next.
-        Half of a workspace's demands stay, so that it is not sent back and forth.
+        A shard qualifies if the lowest counter among the workspaces waiting there is
+        above the lagging workspace's counter by more than the threshold: it would serve
+        the lagging workspace next. At most half of a workspace's demands, rounded
+        up, are moved at a time, so that they do not move back and forth.
         """
         moves: list[Handover] = []
-        levels = self._levels(queue, now)
+        counters = self._lowest_counters(queue, now)
         for account in queue.backlogged():
-            peer = self._fairer(queue, account, levels)
+            peer = self._find_fairer_peer(queue, account, counters)
             if peer is None:
                 continue
-            rows = [row for row in account.waiting if _movable(row, taken)]
+            rows = [row for row in account.waiting if _movable(row, already_moved)]
             count = min(peer.fair_quota, -(-len(account.waiting) // 2))
             for row in rows[:count]:
                 moves.append(Handover(row.demand.demand_id, peer.shard))
                 peer.fair_quota -= 1
         return moves
 
-    def _levels(
+    def _lowest_counters(
         self, queue: FleetQueue, now: float
     ) -> list[tuple[float, ShardId, PeerShard]]:
-        """Return the least counter that each other shard serves, highest first."""
+        """Return the lowest counter among each shard's workspaces, highest first."""
         rows = [
             (min(queue.account(name).counter for name in peer.backlogged), peer)
-            for peer in self._fresh(now)
+            for peer in self._recent_peers(now)
             if peer.backlogged
         ]
-        return sorted(((level, peer.shard, peer) for level, peer in rows), reverse=True)
+        return sorted(
+            ((counter, peer.shard, peer) for counter, peer in rows), reverse=True
+        )
 
-    def _fairer(
+    def _find_fairer_peer(
         self,
         queue: FleetQueue,
         account: Account,
-        levels: list[tuple[float, ShardId, PeerShard]],
+        counters: list[tuple[float, ShardId, PeerShard]],
     ) -> PeerShard | None:
         threshold = MOVE_COSTS * queue.mean_cost / account.weight
-        for level, _, peer in levels:
-            if level <= account.counter + threshold:
+        for counter, _, peer in counters:
+            if counter <= account.counter + threshold:
                 return None
             if peer.fair_quota > 0:
                 return peer
         return None
 
-    def _distance(self, peer: PeerShard) -> tuple[bool, ShardId]:
+    def _locality_key(self, peer: PeerShard) -> tuple[bool, ShardId]:
         return peer.shard.data_centre != self._shard.data_centre, peer.shard
 
-    def _fresh(self, now: float) -> list[PeerShard]:
-        return [peer for peer in self._peers.values() if now - peer.at <= FRESH_S]
+    def _recent_peers(self, now: float) -> list[PeerShard]:
+        return [
+            peer for peer in self._peers.values() if now - peer.reported_at <= FRESH_S
+        ]
 
-    def _sources(self, target: ShardId, now: float) -> int:
-        """Return how many shards may send to a target; they share its units."""
-        rivals = [
-            peer for peer in self._fresh(now) if peer.waiting and peer.shard != target
+    def _count_sources(self, target: ShardId, now: float) -> int:
+        """Return the number of shards that may send to a target and share its units."""
+        others = [
+            peer
+            for peer in self._recent_peers(now)
+            if peer.waiting and peer.shard != target
         ]
-        return 1 + len(rivals)
+        return 1 + len(others)
 
 
-def _movable(row: Waiting, taken: set[str]) -> bool:
-    return row.demand.moves < MAX_MOVES and row.demand.demand_id not in taken
+def _movable(row: Waiting, already_moved: set[str]) -> bool:
+    return row.demand.moves < MAX_MOVES and row.demand.demand_id not in already_moved
 
 
 def lookahead(units: int, mean_s: float, interval_s: float) -> int:
-    """Return how many requests so many units end before the next report is heard."""
+    """Return how many requests the units are expected to end before the next report."""
     if mean_s <= 0:
         return 0
-    seconds = max(LEAST_AHEAD_S, AHEAD_INTERVALS * interval_s)
-    return math.ceil(units * max(LEAST_AHEAD_SHARE, seconds / mean_s))
+    seconds = max(MIN_LOOKAHEAD_S, LOOKAHEAD_INTERVALS * interval_s)
+    return math.ceil(units * max(MIN_LOOKAHEAD_SHARE, seconds / mean_s))
 
 
-def _shared(count: int, sources: int) -> int:
+def _split_evenly(count: int, sources: int) -> int:
     return -(-count // sources)
 
 
-def _by_turn(queue: FleetQueue) -> Iterator[Waiting]:
-    """Yield movable demands, one of each workspace in turn, the least served first."""
-    lines = [
+def _round_robin(queue: FleetQueue) -> Iterator[Waiting]:
+    """Yield movable demands round-robin by workspace, the least served first."""
+    queues = [
         iter([row for row in account.waiting if _movable(row, set())])
         for account in queue.backlogged()
     ]
-    while lines:
-        left = []
-        for line in lines:
-            row = next(line, None)
+    while queues:
+        remaining = []
+        for rows in queues:
+            row = next(rows, None)
             if row is not None:
                 yield row
-                left.append(line)
-        lines = left
+                remaining.append(rows)
+        queues = remaining
--- a/packages/fulmarroad/src/fulmarroad/_rendezvous.py
+++ b/packages/fulmarroad/src/fulmarroad/_rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: who schedules a shard, owns a unit or holds a key's record.
+"""Rendezvous hashing of shards, units and idempotency keys to routers.
 
-Every router works out the same owner from the same list of names, so that a role
-needs no message to be handed out. Each name is hashed together with each candidate
-and the highest hash wins: when a VM goes, only what it owned gets a new owner, while
+Every router computes the same owner from the same list of names, so that assigning a
+role needs no message. Each name is hashed together with each candidate and the highest
+hash wins: when a VM is removed, only what it owned gets a new owner, while
 `hash(name) % count` would move nearly everything at once.
 """
 
@@ -17,25 +17,25 @@
 from fulmarroad.types import DataCentreName, RouterName, ShardId, Unit, WorkspaceName
 
 LOAD_FACTOR = 1.25
-"""How far above the mean a router's number of shards may lie.
+"""Maximum number of shards per router, relative to the mean.
 
-Hashing alone gives the unluckiest of 31 routers three to four times the mean, and
-that router's schedulers would be slow under a load that the others hardly notice.
-At 1.25 the fleet still has room to place a lost router's shards close to the front of
-their hash order; nearer to 1 each loss would push many other shards on as well.
+Hashing alone assigns up to three to four times the mean to one of 31 routers, and that
+router's schedulers would be slow under a load that is light for the others. At 1.25
+most shards of a lost router still go to one of the first candidates in their hash
+order; nearer to 1 each loss would also displace many other shards.
 """
 
 KEY_GROUP_SIZE = 3
-"""Members that hold a key's record: two of three survive the loss of one VM."""
+"""Number of VMs that hold a key's record: two of three survive the loss of one."""
 
 
 def candidates(shard: ShardId, live: Collection[RouterName]) -> tuple[RouterName, ...]:
-    """Return the live routers in the order in which they would schedule a shard."""
+    """Return the live routers in order of preference as scheduler of a shard."""
     return _ranked(f"shard\0{shard}", live)
 
 
 def owner_of(shard: ShardId, live: Collection[RouterName]) -> RouterName | None:
-    """Return the first candidate for a shard, whatever else it schedules."""
+    """Return the first candidate for a shard, regardless of its other shards."""
     return _first(f"shard\0{shard}", live)
 
 
@@ -45,22 +45,25 @@
 ) -> dict[ShardId, RouterName]:
     """Return the scheduler of each shard, a router of the shard's data centre.
 
-    The pattern of load: some routers would hold several busy schedulers while others
-    hold none, which one notices by control processor time that differs several times
-    between routers. So no router gets more than `shard_limit` shards; a shard whose
-    candidates are full goes on to the next one in its hash order. A shard whose data
-    centre has no live router has no scheduler and is left out: its units belong to
-    routers of that data centre, so that nobody else may grant them.
+    No router gets more than `shard_limit` shards; a shard goes to the first candidate
+    in its hash order that is below the limit. Without the limit some routers would
+    hold several busy schedulers and others none, and the processor time of their
+    control work would differ several times over.
+
+    A shard whose data centre has no live router gets no scheduler and is left out: its
+    units belong to routers of that data centre, so no other router may grant them.
     """
     assigned: dict[ShardId, RouterName] = {}
-    for centre, routers in live.items():
-        own = sorted(shard for shard in shards if shard.data_centre == centre)
-        assigned |= _assign_centre(own, frozenset(routers))
+    for data_centre, routers in live.items():
+        local_shards = sorted(
+            shard for shard in shards if shard.data_centre == data_centre
+        )
+        assigned |= _assign_data_centre(local_shards, frozenset(routers))
     return assigned
 
 
 def shard_limit(shards: int, routers: int) -> int:
-    """Return how many shards of its data centre one router schedules at most."""
+    """Return the maximum number of shards of a data centre per router."""
     return math.ceil(LOAD_FACTOR * shards / routers)
 
 
@@ -69,11 +72,11 @@
     assigned: Mapping[ShardId, RouterName],
     live: Collection[RouterName],
 ) -> tuple[RouterName, ...]:
-    """Return the order in which followers try a shard's schedulers.
+    """Return the routers that followers try as scheduler of a shard, in order.
 
-    The assigned one comes first, then the other live routers in hash order, so that
-    followers that lose it meet again at the same next one before the membership
-    has found out.
+    The assigned router comes first, then the other live routers in hash order, so that
+    followers that lose their scheduler agree on the next one before the membership
+    detects the failure.
     """
     ranked = candidates(shard, live)
     first = assigned.get(shard)
@@ -85,13 +88,15 @@
 def unit_owner(unit: Unit, vms: Collection[RouterName]) -> RouterName:
     """Return the router that owns a unit, out of the published VMs of a data centre.
 
-    Raise `ValueError` for an empty list. Each unit is hashed by itself: two routers
-    whose VM lists differ by one VM disagree about that VM's units alone, which bounds
-    what the two sides of a split could grant twice to 1/N.
+    Each unit is hashed by itself: two routers whose lists of N VMs differ by one VM
+    disagree only about that VM's units. During a network partition the two sides can
+    therefore grant at most 1/N of the units twice.
+
+    Raise `ValueError` if the list is empty.
     """
     owner = _first(f"unit\0{unit.server}\0{unit.index}", vms)
     if owner is None:
-        raise ValueError("A unit has no owner where no VM is published.")
+        raise ValueError("A unit has no owner if no VM is published.")
     return owner
 
 
@@ -103,9 +108,9 @@
 ) -> tuple[RouterName, ...]:
     """Return the published VMs of a data centre that hold a key's record.
 
-    The published list decides, not liveness: a group that shrank with each loss would
-    let both sides of a split find a majority. With fewer VMs than `size` the group
-    is all of them.
+    The group is chosen from the published list and not from the live routers: if it
+    shrank with each lost VM, both sides of a network partition could find a majority.
+    With fewer VMs than `size` the group contains all of them.
     """
     return _ranked(f"key\0{workspace}\0{key}", vms)[:size]
 
@@ -115,13 +120,13 @@
 ) -> tuple[RouterName, ...]:
     """Return the live routers of a data centre that read the configuration service.
 
-    The others hear of a new version from their peers, as the service's rate grows more
-    slowly than the fleet.
+    The other routers fetch a new version from their peers, because the request rate
+    of the service grows more slowly than the fleet.
     """
     return _ranked(f"watch\0{subject}", live)[:count]
 
 
-def _assign_centre(
+def _assign_data_centre(
     shards: list[ShardId], routers: frozenset[RouterName]
 ) -> dict[ShardId, RouterName]:
     if not routers:
@@ -137,26 +142,26 @@
     return assigned
 
 
-def _weight(name: str, router: RouterName) -> tuple[int, RouterName]:
+def _score(name: str, router: RouterName) -> tuple[int, RouterName]:
     return xxhash.xxh3_64_intdigest(f"{name}\0{router}".encode()), router
 
 
 def _first(name: str, routers: Collection[RouterName]) -> RouterName | None:
-    return max(routers, key=lambda router: _weight(name, router), default=None)
+    return max(routers, key=lambda router: _score(name, router), default=None)
 
 
 def _ranked(name: str, routers: Collection[RouterName]) -> tuple[RouterName, ...]:
     unique = frozenset(routers)
-    ordered = sorted(unique, key=lambda router: _weight(name, router), reverse=True)
+    ordered = sorted(unique, key=lambda router: _score(name, router), reverse=True)
     return tuple(ordered)
 
 
 def short_name(text: str) -> str:
-    """Return eight characters that stand for a name in ids which travel often.
+    """Return an eight-character hash of a name, for ids that are sent often.
 
-    Forty-eight bits: among the million names that a fleet of 370 routers and its
-    restarts make in three years, two are alike with a chance of one in five hundred,
-    and it takes two that run at the same time to do harm.
+    The hash has forty-eight bits. A fleet of 370 routers and its restarts produce a
+    million names in three years; the chance that two of them collide is one in five
+    hundred, and a collision does harm only if both names are in use at the same time.
     """
     digest = xxhash.xxh3_64_digest(text.encode())
     return base64.urlsafe_b64encode(digest[:6]).decode()
--- a/packages/fulmarroad/src/fulmarroad/_roles.py
+++ b/packages/fulmarroad/src/fulmarroad/_roles.py
@@ -1,8 +1,9 @@
-"""The schedulers that this router hosts: roles taken up when followers say hello.
+"""Host the schedulers of the shards whose role this router holds.
 
-A role is taken up on the first hello and not when the membership says so, since two
-routers may see the membership differently for a while. Units are lent by routers, so
-two schedulers of one shard never grant the same unit.
+A router acquires the scheduler role of a shard when it receives the first `Hello` for
+it, not when the membership assigns it, since two routers may see the membership
+differently for a while. Two schedulers of one shard never grant the same unit, because
+each unit is lent by the router that owns it to one scheduler at a time.
 """
 
 from __future__ import annotations
@@ -30,17 +31,17 @@
 
 logger = logging.getLogger("fulmarroad.roles")
 
-LINGER_S = 5.0
-"""A scheduler without followers is kept this long before its role is given up.
+IDLE_ROLE_TIMEOUT_S = 5.0
+"""How long a scheduler without followers is kept before its role is released.
 
-Followers that lost a stream come back within this time; an empty scheduler costs
-little, and giving it up at once would forget what its servers can bear.
+Followers that lost a stream reconnect within this time. An idle scheduler costs
+little, and releasing it at once would discard the learned limits of its servers.
 """
 
 
 @frozen
 class ToFollower:
-    """Send a message to a router that follows a scheduler here."""
+    """Send a message to a router that follows a scheduler hosted here."""
 
     router: RouterName
     message: m.RouterMessage
@@ -48,7 +49,7 @@
 
 @frozen
 class ToSchedulers:
-    """Send a report to the other schedulers of its pool."""
+    """Send a service report to the other schedulers of its pool."""
 
     report: m.ServiceReport
 
@@ -58,18 +59,22 @@
 
 @define
 class Role:
-    """Hold a scheduler and the book of its backend servers."""
+    """Hold a hosted scheduler, its server book and its followers.
+
+    `idle_since` is the time of the first tick that found no followers, in seconds of
+    this router's clock, or `None` while there are followers.
+    """
 
     scheduler: Scheduler
     book: ServerBook
     followers: set[RouterName] = field(factory=set)
-    left_at: float | None = None
+    idle_since: float | None = None
     settled: bool = False
     shares_lost: int = 0
 
 
 class Roles:
-    """Host schedulers; every method returns what to send."""
+    """Host schedulers; methods return the messages to send."""
 
     def __init__(
         self,
@@ -84,7 +89,7 @@
         self._policy = policy
         self._audit = audit
         self._takes_work = takes_work
-        self._terms = 0
+        self._last_term = 0
         self._tables: Tables | None = None
         self._live: Mapping[DataCentreName, tuple[RouterName, ...]] = {}
         self._vms: Mapping[DataCentreName, tuple[RouterName, ...]] = {}
@@ -98,115 +103,122 @@
     def handle(
         self, router: RouterName, message: m.SchedulerMessage, now: float
     ) -> list[RoleOutput]:
-        """Take a follower's message."""
+        """Handle a message from a follower.
+
+        A `Hello` acquires the role of its shard if this router does not hold it yet.
+        """
         shard = message.shard
         role = self._roles.get(shard)
         if isinstance(message, m.Hello):
-            role = role or self._take_up(shard, now, message.handed_over)
+            role = role or self._acquire_role(shard, now, message.handed_over)
         if role is None:
             return []
         if isinstance(message, m.Hello):
             role.followers.add(router)
-            role.left_at = None
+            role.idle_since = None
         if isinstance(message, m.Goodbye):
             role.followers.discard(router)
-        return self._after(role, role.scheduler.handle(router, message, now))
+        return self._collect_outputs(role, role.scheduler.handle(router, message, now))
 
     def receive_report(self, report: m.ServiceReport, now: float) -> list[RoleOutput]:
-        """Take another scheduler's report."""
+        """Pass another scheduler's report to the schedulers of the same pool."""
         outputs: list[RoleOutput] = []
         for shard, role in list(self._roles.items()):
             if shard.pool == report.shard.pool and shard != report.shard:
-                outputs += self._after(role, role.scheduler.receive_report(report, now))
+                outputs += self._collect_outputs(
+                    role, role.scheduler.receive_report(report, now)
+                )
         return outputs
 
     def link_lost(self, router: RouterName, now: float) -> list[RoleOutput]:
-        """Note that a follower's stream ended."""
+        """Remove a follower whose stream ended."""
         outputs: list[RoleOutput] = []
         for role in list(self._roles.values()):
             if router in role.followers:
                 role.followers.discard(router)
                 sends = role.scheduler.link_lost(router, now)
-                outputs += self._after(role, sends)
+                outputs += self._collect_outputs(role, sends)
         return outputs
 
     def set_live(
         self, live: Mapping[DataCentreName, tuple[RouterName, ...]], now: float
     ) -> list[RoleOutput]:
-        """Take the membership's view of live routers."""
+        """Apply the membership's view of live routers."""
         self._live = dict(live)
         outputs: list[RoleOutput] = []
         for shard, role in list(self._roles.items()):
             names = self._live.get(shard.data_centre, ())
-            outputs += self._after(role, role.scheduler.set_live(names, now))
+            outputs += self._collect_outputs(role, role.scheduler.set_live(names, now))
         return outputs
 
     def set_vms(
         self, vms: Mapping[DataCentreName, tuple[RouterName, ...]], now: float
     ) -> None:
-        """Take the published VMs, which decide who owns which unit."""
+        """Apply the published VM list, which decides which router owns each unit."""
         self._vms = dict(vms)
         for shard, role in self._roles.items():
             role.book.set_vms(self._vms.get(shard.data_centre, ()), now)
 
     def set_tables(self, tables: Tables, now: float) -> list[RoleOutput]:
-        """Take new tables; roles of shards that are gone are given up."""
+        """Apply new tables; release the roles of shards they no longer contain."""
         self._tables = tables
         outputs: list[RoleOutput] = []
         for shard, role in list(self._roles.items()):
             servers = self._servers(shard)
             if not servers:
-                outputs += self._give_up(shard, now, "shard left the table")
+                outputs += self._release_role(shard, now, "shard left the table")
                 continue
             pool = tables.pools[shard.pool]
-            taking = self._taking(servers, now)
-            sends = role.scheduler.set_tables(pool, servers, taking, now)
-            outputs += self._after(role, sends)
+            available = self._available_servers(servers, now)
+            sends = role.scheduler.set_tables(pool, servers, available, now)
+            outputs += self._collect_outputs(role, sends)
         return outputs
 
     def tick(self, now: float) -> list[RoleOutput]:
-        """Move time on for every scheduler."""
+        """Advance every scheduler to `now`, and release roles without followers."""
         outputs: list[RoleOutput] = []
         for shard, role in list(self._roles.items()):
-            outputs += self._after(role, role.scheduler.tick(now))
+            outputs += self._collect_outputs(role, role.scheduler.tick(now))
             report = role.scheduler.report(now)
             if report is not None:
                 outputs.append(ToSchedulers(report))
-            self._note_standing(role)
+            self._log_state_changes(role)
             if role.followers:
                 continue
-            role.left_at = role.left_at if role.left_at is not None else now
-            if now - role.left_at > LINGER_S:
-                outputs += self._give_up(shard, now, "no followers")
+            role.idle_since = role.idle_since if role.idle_since is not None else now
+            if now - role.idle_since > IDLE_ROLE_TIMEOUT_S:
+                outputs += self._release_role(shard, now, "no followers")
         return outputs
 
     def step_down(self, now: float) -> list[RoleOutput]:
-        """Give every role up in good order."""
+        """Release every role, as part of a graceful shutdown."""
         outputs: list[RoleOutput] = []
         for shard in list(self._roles):
-            outputs += self._give_up(shard, now, "graceful shutdown")
+            outputs += self._release_role(shard, now, "graceful shutdown")
         return outputs
 
     def _servers(self, shard: ShardId) -> tuple[BackendServer, ...]:
         pool = self._tables.pools.get(shard.pool) if self._tables else None
         return shards_of(pool).get(shard, ()) if pool else ()
 
-    def _taking(
+    def _available_servers(
         self, servers: tuple[BackendServer, ...], now: float
     ) -> tuple[ServerName, ...]:
         return tuple(s.name for s in servers if self._takes_work(s, now))
 
     def _longest_lease_s(self, shard: ShardId) -> float:
         routes = self._tables.routes.values() if self._tables else ()
-        times = [route.timeout_s for route in routes if route.pool == shard.pool]
-        return max(times, default=LONGEST_LEASE_S)
+        timeouts = [route.timeout_s for route in routes if route.pool == shard.pool]
+        return max(timeouts, default=LONGEST_LEASE_S)
 
-    def _take_up(self, shard: ShardId, now: float, handed_over: bool) -> Role | None:
+    def _acquire_role(
+        self, shard: ShardId, now: float, handed_over: bool
+    ) -> Role | None:
         servers = self._servers(shard)
         if not servers or self._tables is None:
             return None
-        self._terms += 1
-        epoch = Epoch(self._router, self._incarnation, self._terms)
+        self._last_term += 1
+        epoch = Epoch(self._router, self._incarnation, self._last_term)
         pool = self._tables.pools[shard.pool]
         book = ServerBook(
             pool,
@@ -216,7 +228,7 @@
             handed_over=handed_over,
         )
         book.set_vms(self._vms.get(shard.data_centre, ()), now)
-        book.set_servers(pool, servers, self._taking(servers, now), now)
+        book.set_servers(pool, servers, self._available_servers(servers, now), now)
         scheduler = Scheduler(
             shard,
             epoch,
@@ -233,21 +245,21 @@
         )
         return role
 
-    def _give_up(self, shard: ShardId, now: float, cause: str) -> list[RoleOutput]:
+    def _release_role(self, shard: ShardId, now: float, cause: str) -> list[RoleOutput]:
         role = self._roles.pop(shard)
         emit(logger, Event.ROLE_GIVEN_UP, shard=str(shard), cause=cause)
         self._audit.record(
             Subject.ROLE, str(shard), before="held", after="", cause=cause
         )
-        return self._after(role, role.scheduler.step_down(now))
+        return self._collect_outputs(role, role.scheduler.step_down(now))
 
-    def _after(self, role: Role, sends: list[Send]) -> list[RoleOutput]:
+    def _collect_outputs(self, role: Role, sends: list[Send]) -> list[RoleOutput]:
         for change in role.scheduler.changes():
-            self._note(change)
+            self._record_warmth_change(change)
         return [ToFollower(send.router, send.message) for send in sends]
 
-    def _note_standing(self, role: Role) -> None:
-        """Log that a scheduler settled, and that it uses units of lost routers."""
+    def _log_state_changes(self, role: Role) -> None:
+        """Log when a scheduler settles or first uses the units of lost routers."""
         shard = str(role.scheduler.shard)
         if role.scheduler.settled and not role.settled:
             role.settled = True
@@ -257,7 +269,7 @@
         if lost > 0 and before == 0:
             emit(logger, Event.SHARES_TAKEN, shard=shard, units=lost)
 
-    def _note(self, change: WarmthChange) -> None:
+    def _record_warmth_change(self, change: WarmthChange) -> None:
         if change.after is Warmth.FAILING:
             emit(
                 logger,
--- a/packages/fulmarroad/src/fulmarroad/_shardmap.py
+++ b/packages/fulmarroad/src/fulmarroad/_shardmap.py
@@ -1,4 +1,4 @@
-"""What the tables say of shards and servers, and who schedules each shard."""
+"""The shards and servers of the tables in force, and the scheduler of each shard."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShardMap:
-    """Hold the shards of the tables in force and the assignment of their roles."""
+    """Hold the shards of the tables in force and their assigned schedulers."""
 
     def __init__(self) -> None:
         self._tables: Tables | None = None
@@ -37,21 +37,21 @@
 
     @property
     def schedulers(self) -> Mapping[ShardId, RouterName]:
-        """Return who schedules each shard, as this router sees it."""
+        """Return the scheduler of each shard in this router's view."""
         return self._schedulers
 
     @property
     def live(self) -> Mapping[DataCentreName, tuple[RouterName, ...]]:
-        """Return the routers that membership believes live, by data centre."""
+        """Return the routers that are live according to membership, by data centre."""
         return self._live
 
     def changes(self) -> list[CentreChange]:
-        """Return the changes of data centres since last asked."""
+        """Return the data centre state changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
     def set_tables(self, tables: Tables, now: float) -> None:
-        """Take new tables."""
+        """Apply new tables."""
         self._tables = tables
         self._changes += self._shift.update(tables, now)
         self._shards = {name: shards_of(pool) for name, pool in tables.pools.items()}
@@ -62,40 +62,43 @@
         }
 
     def set_live(self, live: Mapping[DataCentreName, tuple[RouterName, ...]]) -> None:
-        """Take the membership's view of live routers."""
+        """Apply the membership's view of live routers."""
         self._live = dict(live)
 
     def tick(self, now: float) -> None:
-        """Move on the data centres that return."""
+        """Advance the state of the data centres that return to service."""
         self._changes += self._shift.tick(now)
 
-    def assign(self, passed_over: Callable[[RouterName], bool]) -> None:
-        """Work out every shard's scheduler anew, without routers passed over."""
+    def assign(self, is_unreachable: Callable[[RouterName], bool]) -> None:
+        """Recompute every shard's scheduler, without unreachable routers."""
         reachable = {
-            centre: tuple(router for router in routers if not passed_over(router))
+            centre: tuple(router for router in routers if not is_unreachable(router))
             for centre, routers in self._live.items()
         }
         self._schedulers = assign_shards(list(self), reachable)
 
     def server(self, name: ServerName) -> BackendServer | None:
-        """Return a backend server that takes new work, or none."""
+        """Return a backend server, or `None` if it is unknown or takes no new work."""
         server = self._servers.get(name)
         return server if server is not None and self._takes_work(server) else None
 
     def open_shards(self, pool: PoolName) -> list[ShardId]:
-        """Return the shards of a pool with a server that takes new work."""
+        """Return the shards of a pool that have a server which takes new work."""
         return [
             shard
             for shard, servers in self._shards.get(pool, {}).items()
             if any(self._takes_work(server) for server in servers)
         ]
 
-    def may_go(self, shard: ShardId, key: str, now: float) -> bool:
-        """Tell whether a returning data centre takes this request already."""
+    def accepts_request(self, shard: ShardId, key: str, now: float) -> bool:
+        """Return whether the shard's data centre takes the request with this key.
+
+        A data centre that returns to service takes a growing share of requests.
+        """
         return self._shift.takes(shard.data_centre, key, now)
 
     def centre_state(self, data_centre: DataCentreName) -> CentreState:
-        """Return how far a data centre is in service."""
+        """Return the service state of a data centre."""
         return self._shift.state(data_centre)
 
     def _takes_work(self, server: BackendServer) -> bool:
--- a/packages/fulmarroad/src/fulmarroad/_supervisor.py
+++ b/packages/fulmarroad/src/fulmarroad/_supervisor.py
@@ -1,4 +1,4 @@
-"""Restart tasks that fail, and give up loudly when restarts don't help."""
+"""Restart failed tasks, and fail the process when restarts do not help."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 MAX_RESTART_DELAY_S = 2.0
 
 MAX_RESTARTS = 10
-"""Failures within `RESTART_WINDOW_S` after which the whole tree fails.
+"""Failures within `RESTART_WINDOW_S` above which the whole tree fails.
 
-A task that fails at once on every start would otherwise spin for ever while the
-process looks healthy; failing the process lets the platform replace the VM.
+Otherwise a task that fails on every start would be restarted for ever while the process
+looks healthy. When the process fails, the platform replaces the VM.
 """
 RESTART_WINDOW_S = 30.0
 
@@ -42,10 +42,11 @@
 
 
 class Supervisor:
-    """Run children in one task group; restart those that fail.
+    """Run children in one task group, and restart those that fail.
 
-    A child that returns is done. Raise `SupervisionError` when a child fails more
-    than `MAX_RESTARTS` times in `RESTART_WINDOW_S`, which ends its siblings.
+    A child that returns is not restarted. `SupervisionError` is raised, and the other
+    children are cancelled, if a child fails more than `MAX_RESTARTS` times in
+    `RESTART_WINDOW_S`, or once if its `restart` is false.
     """
 
     def __init__(self, name: str, children: list[ChildSpec], *, seed: int = 0) -> None:
@@ -54,7 +55,7 @@
         self._random = random.Random(seed)
 
     async def run(self) -> None:
-        """Run until every child is done or one is given up."""
+        """Run until every child has returned, or a child may not be restarted again."""
         async with anyio.create_task_group() as group:
             for child in self._children:
                 group.start_soon(self._run_child, child, name=child.spec.name)
@@ -65,11 +66,15 @@
                 await child.spec.run()
                 return
             except Exception as error:
-                await self._after_failure(child, error)
+                await self._handle_failure(child, error)
 
-    async def _after_failure(self, child: _Child, error: Exception) -> None:
+    async def _handle_failure(self, child: _Child, error: Exception) -> None:
         now = anyio.current_time()
-        child.failures = [at for at in child.failures if now - at < RESTART_WINDOW_S]
+        child.failures = [
+            failed_at
+            for failed_at in child.failures
+            if now - failed_at < RESTART_WINDOW_S
+        ]
         child.failures.append(now)
         count = len(child.failures)
         fields = {"supervisor": self._name, "task": child.spec.name}
@@ -77,12 +82,12 @@
             emit(logger, Event.TASK_GIVEN_UP, **fields, cause=repr(error))
             raise SupervisionError(
                 f"Task {child.spec.name} failed {count} times.",
-                hint="The log's event 110 tells each cause.",
+                hint="The cause of each failure is logged as event 110.",
             ) from error
-        logger.debug("task failure", exc_info=error)
+        logger.debug("task failed", exc_info=error)
         emit(logger, Event.TASK_FAILED, **fields, cause=repr(error), failures=count)
-        await anyio.sleep(self._delay(count))
+        await anyio.sleep(self._restart_delay(count))
 
-    def _delay(self, count: int) -> float:
+    def _restart_delay(self, count: int) -> float:
         ceiling = min(MAX_RESTART_DELAY_S, RESTART_DELAY_S * 2**count)
         return self._random.uniform(RESTART_DELAY_S, ceiling)
--- a/packages/fulmarroad/src/fulmarroad/coordination.py
+++ b/packages/fulmarroad/src/fulmarroad/coordination.py
@@ -1,4 +1,4 @@
-"""The tasks by which a router acts together with the others."""
+"""Coordination of a router with the other routers of the fleet."""
 
 from fulmarroad._commands import (
     Cancel,
--- a/packages/fulmarroad/src/fulmarroad/ownership.py
+++ b/packages/fulmarroad/src/fulmarroad/ownership.py
@@ -1,4 +1,4 @@
-"""Which router schedules which shard, owns which unit and holds which key's record."""
+"""Assignment of shards, units and key records to routers."""
 
 from fulmarroad._rendezvous import (
     KEY_GROUP_SIZE,
--- a/packages/fulmarroad/src/fulmarroad/supervision.py
+++ b/packages/fulmarroad/src/fulmarroad/supervision.py
@@ -1,4 +1,4 @@
-"""A supervisor tree over anyio task groups."""
+"""Supervision of tasks in anyio task groups."""
 
 from fulmarroad._supervisor import ChildSpec, Supervisor
 
--- a/packages/fulmarroad/tests/test_supervision.py
+++ b/packages/fulmarroad/tests/test_supervision.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def no_delay(monkeypatch):
-    monkeypatch.setattr(Supervisor, "_delay", lambda self, count: 0.0)
+    monkeypatch.setattr(Supervisor, "_restart_delay", lambda self, count: 0.0)
 
 
 @pytest.mark.anyio
