--- a/packages/fulmarroad/src/fulmarroad/_coordinator.py
+++ b/packages/fulmarroad/src/fulmarroad/_coordinator.py
@@ -277,10 +277,10 @@
             self._record_centre_change(centre)
 
     def _record_centre_change(self, change: CentreChange) -> None:
-        is_out = change.after is CentreState.OUT
+        left = change.after is CentreState.OUT
         emit(
             logger,
-            Event.CENTRE_LEFT if is_out else Event.CENTRE_RETURNED,
+            Event.CENTRE_LEFT if left else Event.CENTRE_RETURNED,
             data_centre=change.data_centre,
             before=change.before.value,
             after=change.after.value,
--- a/packages/fulmarroad/src/fulmarroad/_follower.py
+++ b/packages/fulmarroad/src/fulmarroad/_follower.py
@@ -317,16 +317,16 @@
 
     def _update_follow(self, shard: ShardId, now: float) -> list[Decision]:
         follow = self._follows[shard]
-        listed = shard in self._shard_map
-        scheduler = self.schedulers.get(shard) if listed else None
-        if listed and scheduler == follow.scheduler:
+        known = shard in self._shard_map
+        scheduler = self.schedulers.get(shard) if known else None
+        if known and scheduler == follow.scheduler:
             return []
         decisions: list[Decision] = []
         if follow.scheduler is not None:
             goodbye = m.Goodbye(shard, self._router)
             decisions.append(SendTo(follow.scheduler, goodbye))
         self._changes.append(FollowChange(shard, follow.scheduler, scheduler))
-        if not listed:
+        if not known:
             del self._follows[shard]
             return decisions
         follow.scheduler = scheduler
@@ -386,8 +386,8 @@
         """
         declined = m.Finished(grant.shard, grant.lease_id, Outcome.DECLINED, 0.0)
         decisions: list[Decision] = [SendTo(peer, declined)]
-        is_current = followed_epoch is not None and followed_epoch == grant.epoch
-        if waiting is not None and is_current:
+        current = followed_epoch is not None and followed_epoch == grant.epoch
+        if waiting is not None and current:
             decisions += self._place_or_reject(waiting, now)
         return decisions
 
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -71,7 +71,7 @@
     shard: ShardId
     capacity: int
     waiting: int
-    reported_at: float
+    at: float
     free_quota: int
     lookahead_quota: int
     fair_quota: int
@@ -94,8 +94,8 @@
             return
         sources = self._count_sources(report.shard, now)
         unused = max(0, report.free - report.waiting)
-        previous = self._peers.get(report.shard)
-        interval = min(FRESH_S, now - previous.reported_at) if previous else 0.0
+        known = self._peers.get(report.shard)
+        interval = min(FRESH_S, now - known.at) if known else 0.0
         ahead = lookahead(report.capacity, mean_s, interval)
         available = max(0, report.free + ahead - report.waiting)
         self._peers[report.shard] = PeerShard(
@@ -174,9 +174,9 @@
         up, are moved at a time, so that they do not move back and forth.
         """
         moves: list[Handover] = []
-        counters = self._lowest_counters(queue, now)
+        levels = self._lowest_counters(queue, now)
         for account in queue.backlogged():
-            peer = self._find_fairer_peer(queue, account, counters)
+            peer = self._find_fairer_peer(queue, account, levels)
             if peer is None:
                 continue
             rows = [row for row in account.waiting if _movable(row, already_moved)]
@@ -195,19 +195,17 @@
             for peer in self._recent_peers(now)
             if peer.backlogged
         ]
-        return sorted(
-            ((counter, peer.shard, peer) for counter, peer in rows), reverse=True
-        )
+        return sorted(((level, peer.shard, peer) for level, peer in rows), reverse=True)
 
     def _find_fairer_peer(
         self,
         queue: FleetQueue,
         account: Account,
-        counters: list[tuple[float, ShardId, PeerShard]],
+        levels: list[tuple[float, ShardId, PeerShard]],
     ) -> PeerShard | None:
         threshold = MOVE_COSTS * queue.mean_cost / account.weight
-        for counter, _, peer in counters:
-            if counter <= account.counter + threshold:
+        for level, _, peer in levels:
+            if level <= account.counter + threshold:
                 return None
             if peer.fair_quota > 0:
                 return peer
@@ -217,9 +215,7 @@
         return peer.shard.data_centre != self._shard.data_centre, peer.shard
 
     def _recent_peers(self, now: float) -> list[PeerShard]:
-        return [
-            peer for peer in self._peers.values() if now - peer.reported_at <= FRESH_S
-        ]
+        return [peer for peer in self._peers.values() if now - peer.at <= FRESH_S]
 
     def _count_sources(self, target: ShardId, now: float) -> int:
         """Return the number of shards that may send to a target and share its units."""
@@ -254,10 +250,10 @@
         for account in queue.backlogged()
     ]
     while queues:
-        remaining = []
+        left = []
         for rows in queues:
             row = next(rows, None)
             if row is not None:
                 yield row
-                remaining.append(rows)
-        queues = remaining
+                left.append(rows)
+        queues = left
--- a/packages/fulmarroad/src/fulmarroad/_supervisor.py
+++ b/packages/fulmarroad/src/fulmarroad/_supervisor.py
@@ -70,11 +70,7 @@
 
     async def _handle_failure(self, child: _Child, error: Exception) -> None:
         now = anyio.current_time()
-        child.failures = [
-            failed_at
-            for failed_at in child.failures
-            if now - failed_at < RESTART_WINDOW_S
-        ]
+        child.failures = [at for at in child.failures if now - at < RESTART_WINDOW_S]
         child.failures.append(now)
         count = len(child.failures)
         fields = {"supervisor": self._name, "task": child.spec.name}
