--- a/packages/fulmarroad/tests/conftest.py
+++ b/packages/fulmarroad/tests/conftest.py
@@ -1,7 +1,7 @@
-"""A small fleet in virtual time: real coordinators, messages and decisions.
+"""A small fleet in virtual time, with real coordinators, followers and schedulers.
 
-Only the edges are fakes: streams in memory, a membership that the test sets, backend
-servers that take their time and record what ran.
+The network, the membership and the backend servers are fakes: streams are in memory,
+the test sets the membership, and servers sleep and record the requests they ran.
 """
 
 import itertools
@@ -32,18 +32,22 @@
 from fulmarroad.types import Outcome
 
 CHUNK_S = 0.1
-RATE = 100.0  # tokens a second of one running request
+RATE = 100.0  # tokens per second of one running request
 
 
 @define(eq=False)
 class FakeServer:
-    """Take CHUNK_S for each chunk of tokens, longer past its batch; record what ran."""
+    """Simulate a backend server, and record the requests that run on it.
+
+    A chunk of tokens takes CHUNK_S, and proportionally longer while more than `batch`
+    requests run.
+    """
 
     name: str
     batch: int = 4
     running: int = 0
     peak_running: int = 0
-    over: list = field(factory=list)
+    over_batch: list = field(factory=list)
     starts: list = field(factory=list)
     service: dict = field(factory=dict)
 
@@ -76,7 +80,7 @@
         self.servers = {name: FakeServer(name) for name, _ in servers}
         self.routers = {}
         self.outcomes = {}
-        self.asked_at = {}
+        self.submitted_at = {}
         self.ended_at = 0.0
         self.version = 0
         self.out = set()
@@ -132,13 +136,13 @@
             await router.coordinator.run()
 
     def kill(self, name):
-        """End a router at once, as when its VM dies."""
+        """Stop a router without a shutdown, as when its VM fails."""
         router = self.routers.pop(name)
         router.scope.cancel()
         self.network.drop(name)
 
     def publish(self, out=(), to=None):
-        """Put a new version of the tables in force, at some routers or everywhere."""
+        """Send a new version of the tables to the routers in `to`, or to all of them."""
         self.version += 1
         self.out = set(out)
         for name in to or self.routers:
@@ -146,7 +150,7 @@
             self.routers[name].coordinator.send_command(SetTables(self.tables()))
 
     def set_members(self, seen=None):
-        """Let routers believe that these live; `seen` maps a router to its view."""
+        """Set the live routers; `seen` maps a router to the names that it sees."""
         for router in self.routers.values():
             names = (seen or {}).get(router.name, self.routers)
             live = {
@@ -169,10 +173,10 @@
             router.coordinator.send_command(SetVms(vms))
 
     async def call(self, router, workspace, tokens=20, *, deadline_s=60.0, weight=1.0):
-        """Send one request as a router's execution does; return its outcome."""
+        """Request a lease at a router, run the request and return its outcome."""
         name = f"{workspace}-{next(self._ids)}"
         self.outcomes[name] = "unanswered"
-        self.asked_at[name] = self.now
+        self.submitted_at[name] = self.now
         ask = Ask(
             name,
             self.pool.name,
@@ -198,13 +202,13 @@
         server.running += 1
         server.peak_running = max(server.peak_running, server.running)
         if server.running > server.batch:
-            server.over.append((self.now, server.running))
-        began, done = self.now, 0.0
+            server.over_batch.append((self.now, server.running))
+        start_time, processed = self.now, 0.0
         try:
-            while done < tokens:
+            while processed < tokens:
                 await anyio.sleep(server.chunk_s)
-                step = min(RATE * CHUNK_S, tokens - done)
-                done += step
+                step = min(RATE * CHUNK_S, tokens - processed)
+                processed += step
                 coordinator.send_command(NoteProgress(lease.lease_id, step))
                 total = server.service.get(workspace, 0.0) + step
                 server.service[workspace] = total
@@ -215,21 +219,22 @@
             lease.lease_id,
             Outcome.COMPLETED,
             float(tokens),
-            (self.now - began) * step / tokens,
-            (self.now - began) * step / tokens,
-            self.now - began,
+            (self.now - start_time) * step / tokens,
+            (self.now - start_time) * step / tokens,
+            self.now - start_time,
         )
         coordinator.send_command(NoteFinished(report))
 
-    async def keep_calling(self, router, workspace, tokens=20, **options):
-        """Send one request after another until cancelled."""
+    async def call_repeatedly(self, router, workspace, tokens=20, **options):
+        """Send requests one after the other until cancelled."""
         while True:
             await self.call(router, workspace, tokens, **options)
 
-    def unserved(self, patience_s=5.0):
-        """Return calls that were refused, or not answered within a time.
+    def incomplete_calls(self, patience_s=5.0):
+        """Return the calls that were refused, or not answered within `patience_s`.
 
-        Calls that were young when the scenario ended were cut off by the test.
+        Calls that had waited for less time when the scenario ended are left out, since
+        the test ended them.
         """
         return {
             name: outcome
@@ -237,14 +242,14 @@
             if outcome != "completed"
             and (
                 outcome != "unanswered"
-                or self.ended_at - self.asked_at[name] > patience_s
+                or self.ended_at - self.submitted_at[name] > patience_s
             )
         }
 
     def service(self, workspace):
         return sum(s.service.get(workspace, 0.0) for s in self.servers.values())
 
-    def begin(self):
+    def start_all(self):
         for centre, names in self.centres.items():
             for name in names:
                 self.start(name, centre)
@@ -255,15 +260,15 @@
 
 @pytest.fixture
 def run_fleet():
-    """Return a function that plays a scenario on a fleet in virtual time."""
+    """Return a function that runs a scenario on a fleet in virtual time."""
 
-    def play(scenario, centres, servers, **options):
+    def run_scenario(scenario, centres, servers, **options):
         fleet = Fleet(centres, servers, **options)
 
         async def main():
             async with anyio.create_task_group() as group:
                 fleet.group = group
-                fleet.begin()
+                fleet.start_all()
                 await scenario(fleet)
                 fleet.ended_at = fleet.now
                 group.cancel_scope.cancel()
@@ -271,4 +276,4 @@
         run_virtual(main)
         return fleet
 
-    return play
+    return run_scenario
--- a/packages/fulmarroad/tests/test_fleet.py
+++ b/packages/fulmarroad/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Routers act together through failures: nothing lost, doubled or unfair."""
+"""A fleet stays correct and fair during failures: no request is lost or run twice."""
 
 import anyio
 import pytest
@@ -8,7 +8,7 @@
 
 
 class TestServing:
-    def test_requests_of_every_router_complete(self, run_fleet):
+    def test_requests_at_every_router_complete(self, run_fleet):
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers):
@@ -17,7 +17,7 @@
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         assert list(fleet.outcomes.values()) == ["completed"] * 6
 
-    def test_no_server_gets_more_than_its_units(self, run_fleet):
+    def test_no_server_runs_more_requests_than_it_has_units(self, run_fleet):
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers) * 10:
@@ -29,22 +29,24 @@
 
 
 class TestLostScheduler:
-    @pytest.mark.parametrize("victims", [1, 2])
-    def test_requests_of_the_other_routers_complete(self, run_fleet, victims):
-        # The VMs that schedule a shard die, one or two of three, while requests wait
-        # and run. Callers of the routers that live must all get their answers.
+    @pytest.mark.parametrize("failed_count", [1, 2])
+    def test_requests_at_the_surviving_routers_complete(self, run_fleet, failed_count):
+        # One or two of a data centre's three VMs fail while requests wait and run, among
+        # them the shard's scheduler. Callers of the other routers must all get answers.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 await anyio.sleep(0.2)
                 schedulers = fleet.routers["n1"].coordinator.follower.schedulers
                 first = next(r for s, r in schedulers.items() if "north" in str(s))
-                doomed = [first]
-                doomed += [n for n in CENTRES["north"] if n != first][: victims - 1]
-                keeper = next(n for n in CENTRES["north"] if n not in doomed)
+                failed_vms = [first]
+                failed_vms += [n for n in CENTRES["north"] if n != first][
+                    : failed_count - 1
+                ]
+                survivor = next(n for n in CENTRES["north"] if n not in failed_vms)
                 for _ in range(30):
-                    group.start_soon(fleet.call, keeper, "coop")
+                    group.start_soon(fleet.call, survivor, "coop")
                 await anyio.sleep(0.3)
-                for name in doomed:
+                for name in failed_vms:
                     fleet.kill(name)
                 await anyio.sleep(1.0)
                 fleet.set_members()
@@ -55,77 +57,77 @@
 
 
 class TestFairness:
-    def test_flood_does_not_crowd_out_a_small_workspace(self, run_fleet):
-        # One workspace floods all routers; a small one comes through a single router
-        # of the other data centre. Both are backlogged, so both get equal service.
+    def test_flooding_workspace_gets_no_more_service_than_a_small_one(self, run_fleet):
+        # One workspace floods all routers, while a small one calls a single router of
+        # the other data centre. Both are backlogged, so both must get equal service.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers) * 8:
-                    group.start_soon(fleet.keep_calling, router, "flood")
+                    group.start_soon(fleet.call_repeatedly, router, "flood")
                 for _ in range(12):
-                    group.start_soon(fleet.keep_calling, "s1", "small")
+                    group.start_soon(fleet.call_repeatedly, "s1", "small")
                 await anyio.sleep(5.0)
                 before = fleet.service("small"), fleet.service("flood")
                 await anyio.sleep(20.0)
-                fleet.gain = (
+                fleet.service_gain = (
                     fleet.service("small") - before[0],
                     fleet.service("flood") - before[1],
                 )
                 group.cancel_scope.cancel()
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
-        small, flood = fleet.gain
+        small, flood = fleet.service_gain
         assert small == pytest.approx(flood, rel=0.1)
         assert small + flood >= 0.9 * 20.0 * 8 * 100.0
 
 
-class TestDataCentreLeaves:
-    def test_work_moves_and_returns(self, run_fleet):
-        # Operators take a data centre out and bring it back. Its routers stay and
-        # hold callers, whose requests must go elsewhere at once and not be lost.
+class TestDataCentreOutOfService:
+    def test_work_leaves_and_returns_with_the_data_centre(self, run_fleet):
+        # Operators take a data centre out of service and back in. Its routers stay up
+        # with their callers, whose requests must move to the other data centre at once.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers) * 2:
-                    group.start_soon(fleet.keep_calling, router, "coop")
+                    group.start_soon(fleet.call_repeatedly, router, "coop")
                 await anyio.sleep(3.0)
                 fleet.publish(out=["south"])
                 fleet.left = fleet.now
                 await anyio.sleep(10.0)
                 fleet.publish()
-                fleet.back = fleet.now
+                fleet.returned_at = fleet.now
                 await anyio.sleep(60.0)
                 group.cancel_scope.cancel()
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         starts = [at for at, _ in fleet.servers["south-a"].starts]
-        assert not [at for at in starts if fleet.left + 0.1 < at < fleet.back]
-        assert [at for at in starts if at > fleet.back]
-        assert fleet.unserved() == {}
+        assert not [at for at in starts if fleet.left + 0.1 < at < fleet.returned_at]
+        assert [at for at in starts if at > fleet.returned_at]
+        assert fleet.incomplete_calls() == {}
 
 
-def split(fleet, sides):
-    """Cut every stream between two sides, and let each believe that it is alone."""
+def partition(fleet, sides):
+    """Cut every stream between two sides, and make each see only its own routers."""
     first, second = sides
-    for one in first:
-        for other in second:
-            fleet.network.cut(one, other)
+    for one_router in first:
+        for other_router in second:
+            fleet.network.cut(one_router, other_router)
     seen = {name: side for side in sides for name in side}
     fleet.set_members(seen)
 
 
-class TestSplit:
-    def test_two_sides_of_a_data_centre_never_overload_a_server(self, run_fleet):
-        # A switch fails inside a data centre. Each side has callers and reaches the
-        # same servers, and each gets a scheduler of its own. Without shares of units
-        # both would fill the servers, and callers would see answers twice as slow.
+class TestNetworkPartition:
+    def test_two_sides_of_a_data_centre_do_not_overload_a_server(self, run_fleet):
+        # A switch fails inside a data centre. Both sides have callers, reach the same
+        # servers and start a scheduler. Without shares of units both would fill the
+        # servers, and answers would be twice as slow.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers) * 6:
-                    group.start_soon(fleet.keep_calling, router, "coop")
+                    group.start_soon(fleet.call_repeatedly, router, "coop")
                 await anyio.sleep(8.0)
                 north = CENTRES["north"]
-                far = CENTRES["south"]
-                split(fleet, (north[:1], (*north[1:], *far)))
+                south = CENTRES["south"]
+                partition(fleet, (north[:1], (*north[1:], *south)))
                 fleet.cut_at = fleet.now
                 await anyio.sleep(20.0)
                 fleet.starts = {
@@ -139,50 +141,55 @@
                 group.cancel_scope.cancel()
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
-        # At the cut a side may grant units on which the other's requests still run: a
-        # warm server is over its batch until these end, a cold one never (the books'
-        # state machine holds that). Afterwards both sides together stay within it.
-        late = [
+        # Right after the cut a side may grant units on which requests of the other side
+        # still run, so a warm server exceeds its batch until these end. A cold one never
+        # does, which the state machine test of the server book checks. After that, both
+        # sides together stay within the batch.
+        overloads_outside_transitions = [
             at
             for server in fleet.servers.values()
-            for at, _ in server.over
+            for at, _ in server.over_batch
             if not 0 <= at - fleet.cut_at < 1 and not 0 <= at - fleet.healed_at < 1
         ]
-        assert late == []
+        assert overloads_outside_transitions == []
         assert all(fleet.starts.values())
-        assert fleet.unserved() == {}
+        assert fleet.incomplete_calls() == {}
 
-    def test_split_while_a_data_centre_is_taken_out(self, run_fleet):
-        # Operators take a data centre out while it is cut off from the others. The
-        # other side stops sending at once; the cut-off side serves its own callers
-        # until it hears of the table, and stops then.
+    def test_cut_off_data_centre_stops_when_it_receives_the_tables(self, run_fleet):
+        # Operators take a data centre out of service while it is cut off from the
+        # other. The other side stops sending to it at once; the cut-off side serves its
+        # own callers until it receives the new tables.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 for router in list(fleet.routers) * 2:
-                    group.start_soon(fleet.keep_calling, router, "coop")
+                    group.start_soon(fleet.call_repeatedly, router, "coop")
                 await anyio.sleep(8.0)
-                split(fleet, (CENTRES["north"], CENTRES["south"]))
+                partition(fleet, (CENTRES["north"], CENTRES["south"]))
                 fleet.publish(out=["south"], to=CENTRES["north"])
                 await anyio.sleep(5.0)
                 fleet.network.heal()
                 fleet.set_members()
                 fleet.publish(out=["south"])
-                fleet.heard = fleet.now
+                fleet.published_at = fleet.now
                 await anyio.sleep(10.0)
                 group.cancel_scope.cancel()
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         starts = [at for at, _ in fleet.servers["south-a"].starts]
-        assert [at for at in starts if fleet.heard - 4.0 < at < fleet.heard]
-        assert not [at for at in starts if at > fleet.heard + 0.1]
-        assert fleet.unserved() == {}
+        assert [
+            at for at in starts if fleet.published_at - 4.0 < at < fleet.published_at
+        ]
+        assert not [at for at in starts if at > fleet.published_at + 0.1]
+        assert fleet.incomplete_calls() == {}
 
 
 class TestFrozenScheduler:
-    def test_its_followers_go_on_and_it_wakes_to_nothing(self, run_fleet):
-        # The VM of a scheduler is frozen for some seconds, with its streams open. The
-        # others must not wait for it; on waking its grants must start nothing beside
-        # those of its successor.
+    def test_followers_continue_and_grants_after_its_resumption_start_nothing(
+        self, run_fleet
+    ):
+        # The VM of a scheduler is frozen for several seconds, with its streams open.
+        # Its followers must not wait for it, and the grants it sends when it resumes
+        # must not start requests in addition to those of its successor.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 await anyio.sleep(0.5)
@@ -190,7 +197,7 @@
                 frozen = next(r for s, r in schedulers.items() if "north" in str(s))
                 others = [name for name in fleet.routers if name != frozen]
                 for router in others * 4:
-                    group.start_soon(fleet.keep_calling, router, "coop")
+                    group.start_soon(fleet.call_repeatedly, router, "coop")
                 await anyio.sleep(8.0)
                 fleet.network.hold(frozen)
                 fleet.frozen_at = fleet.now
@@ -203,4 +210,4 @@
         starts = [at for at, _ in fleet.servers["north-a"].starts]
         assert [at for at in starts if fleet.frozen_at + 4 < at < fleet.frozen_at + 8]
         assert all(s.peak_running <= 4 for s in fleet.servers.values())
-        assert fleet.unserved() == {}
+        assert fleet.incomplete_calls() == {}
--- a/packages/fulmarroad/tests/test_supervision.py
+++ b/packages/fulmarroad/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Failed tasks are restarted; tasks that keep failing end the process."""
+"""Failed tasks are restarted; a task that keeps failing ends the process."""
 
 import anyio
 import pytest
@@ -13,14 +13,14 @@
 
 
 @pytest.fixture
-def no_delay(monkeypatch):
+def no_restart_delay(monkeypatch):
     monkeypatch.setattr(Supervisor, "_restart_delay", lambda self, count: 0.0)
 
 
 @pytest.mark.anyio
-@pytest.mark.usefixtures("no_delay")
+@pytest.mark.usefixtures("no_restart_delay")
 class TestSupervisor:
-    async def test_restarts_a_task_that_failed(self):
+    async def test_restarts_a_failed_task(self):
         runs = []
 
         async def flaky():
@@ -31,9 +31,9 @@
         await Supervisor("test", [ChildSpec("flaky", flaky)]).run()
         assert len(runs) == 3
 
-    async def test_gives_up_and_ends_the_siblings(self):
-        # A task that fails on every start would spin for ever in a process that
-        # looks healthy, while callers get nothing.
+    async def test_cancels_the_siblings_after_too_many_failures(self):
+        # Otherwise a task that fails on every start would be restarted for ever in a
+        # process that looks healthy, while callers get no answers.
         cancelled = []
 
         async def broken():
@@ -51,7 +51,7 @@
         assert failure.group_contains(SupervisionError)
         assert cancelled == [True]
 
-    async def test_a_task_that_must_not_restart_fails_at_once(self):
+    async def test_task_without_restart_fails_at_once(self):
         runs = []
 
         async def broken():
