--- a/packages/fulmarroad/src/fulmarroad/_follower.py
+++ b/packages/fulmarroad/src/fulmarroad/_follower.py
@@ -447,7 +447,7 @@
 
     def _replace_silent_schedulers(self, now: float) -> list[Decision]:
         follows = self._follows.values()
-        silent = {row.scheduler for row in follows if row.silent(now)}
+        silent = {row.scheduler for row in follows if row.is_silent(now)}
         decisions: list[Decision] = []
         for peer in silent - {self._router}:
             if peer is not None:
--- a/packages/fulmarroad/src/fulmarroad/_following.py
+++ b/packages/fulmarroad/src/fulmarroad/_following.py
@@ -217,7 +217,7 @@
         self.hello_sent_at = now
         self.last_message_at = now
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         """Return whether the scheduler has sent nothing for too long."""
         limit = SILENCE_S if self.epoch is not None else HELLO_TIMEOUT_S
         return self.scheduler is not None and now - self.last_message_at > limit
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -21,7 +21,7 @@
 MAX_MOVES = 3
 """Maximum number of moves of one demand; after three it stays in its shard."""
 
-FRESH_S = 2.5
+MAX_REPORT_AGE_S = 2.5
 """Maximum age of a report that is used to plan moves.
 
 It is slightly longer than the interval at which idle schedulers report.
@@ -95,16 +95,16 @@
         sources = self._count_sources(report.shard, now)
         unused = max(0, report.free - report.waiting)
         known = self._peers.get(report.shard)
-        interval = min(FRESH_S, now - known.at) if known else 0.0
+        interval = min(MAX_REPORT_AGE_S, now - known.at) if known else 0.0
         ahead = lookahead(report.capacity, mean_s, interval)
-        available = max(0, report.free + ahead - report.waiting)
+        expected_free = max(0, report.free + ahead - report.waiting)
         self._peers[report.shard] = PeerShard(
             report.shard,
             report.capacity,
             report.waiting,
             now,
             _split_evenly(unused, sources),
-            _split_evenly(available, sources) - _split_evenly(unused, sources),
+            _split_evenly(expected_free, sources) - _split_evenly(unused, sources),
             _split_evenly(int(report.capacity * FAIR_SHARE), sources),
             tuple(entry.workspace for entry in report.entries if entry.waiting),
         )
@@ -215,7 +215,9 @@
         return peer.shard.data_centre != self._shard.data_centre, peer.shard
 
     def _recent_peers(self, now: float) -> list[PeerShard]:
-        return [peer for peer in self._peers.values() if now - peer.at <= FRESH_S]
+        return [
+            peer for peer in self._peers.values() if now - peer.at <= MAX_REPORT_AGE_S
+        ]
 
     def _count_sources(self, target: ShardId, now: float) -> int:
         """Return the number of shards that may send to a target and share its units."""
--- a/packages/fulmarroad/src/fulmarroad/_supervisor.py
+++ b/packages/fulmarroad/src/fulmarroad/_supervisor.py
@@ -78,7 +78,7 @@
             emit(logger, Event.TASK_GIVEN_UP, **fields, cause=repr(error))
             raise SupervisionError(
                 f"Task {child.spec.name} failed {count} times.",
-                hint="The cause of each failure is logged as event 110.",
+                hint="The causes of the failures are logged as events 110 and 111.",
             ) from error
         logger.debug("task failed", exc_info=error)
         emit(logger, Event.TASK_FAILED, **fields, cause=repr(error), failures=count)
--- a/packages/fulmarroad/tests/conftest.py
+++ b/packages/fulmarroad/tests/conftest.py
@@ -142,7 +142,7 @@
         self.network.drop(name)
 
     def publish(self, out=(), to=None):
-        """Send a new version of the tables to the routers in `to`, or to all of them."""
+        """Send a new version of the tables to the routers in `to`, or to all."""
         self.version += 1
         self.out = set(out)
         for name in to or self.routers:
--- a/packages/fulmarroad/tests/test_fleet.py
+++ b/packages/fulmarroad/tests/test_fleet.py
@@ -31,8 +31,9 @@
 class TestLostScheduler:
     @pytest.mark.parametrize("failed_count", [1, 2])
     def test_requests_at_the_surviving_routers_complete(self, run_fleet, failed_count):
-        # One or two of a data centre's three VMs fail while requests wait and run, among
-        # them the shard's scheduler. Callers of the other routers must all get answers.
+        # One or two of a data centre's three VMs fail while requests wait and run,
+        # among them the shard's scheduler. Callers of the other routers must all get
+        # their answers.
         async def scenario(fleet):
             async with anyio.create_task_group() as group:
                 await anyio.sleep(0.2)
@@ -57,7 +58,7 @@
 
 
 class TestFairness:
-    def test_flooding_workspace_gets_no_more_service_than_a_small_one(self, run_fleet):
+    def test_flooding_and_small_workspace_get_equal_service(self, run_fleet):
         # One workspace floods all routers, while a small one calls a single router of
         # the other data centre. Both are backlogged, so both must get equal service.
         async def scenario(fleet):
@@ -142,16 +143,16 @@
 
         fleet = run_fleet(scenario, CENTRES, SERVERS)
         # Right after the cut a side may grant units on which requests of the other side
-        # still run, so a warm server exceeds its batch until these end. A cold one never
-        # does, which the state machine test of the server book checks. After that, both
-        # sides together stay within the batch.
-        overloads_outside_transitions = [
+        # still run, so a warm server exceeds its batch until these end. A cold server
+        # never does, which the state machine test of the server books checks. After
+        # that, both sides together stay within the batch.
+        late = [
             at
             for server in fleet.servers.values()
             for at, _ in server.over_batch
             if not 0 <= at - fleet.cut_at < 1 and not 0 <= at - fleet.healed_at < 1
         ]
-        assert overloads_outside_transitions == []
+        assert late == []
         assert all(fleet.starts.values())
         assert fleet.incomplete_calls() == {}
 
@@ -184,9 +185,7 @@
 
 
 class TestFrozenScheduler:
-    def test_followers_continue_and_grants_after_its_resumption_start_nothing(
-        self, run_fleet
-    ):
+    def test_followers_continue_and_late_grants_start_nothing(self, run_fleet):
         # The VM of a scheduler is frozen for several seconds, with its streams open.
         # Its followers must not wait for it, and the grants it sends when it resumes
         # must not start requests in addition to those of its successor.
--- a/packages/fulmarroad/tests/test_follower.py
+++ b/packages/fulmarroad/tests/test_follower.py
@@ -232,10 +232,8 @@
 class TestHandover:
     def receive_heartbeat(self, bench, epoch, warmth, *, settled, informed=True):
         status = m.ServerStatus("s1", warmth, 8, 0, 8, informed)
-        receive_heartbeat = m.Heartbeat(
-            bench.shard, epoch, 0.0, (status,), settled=settled
-        )
-        bench.collect(bench.follower.handle(bench.scheduler, receive_heartbeat, 0.1))
+        heartbeat = m.Heartbeat(bench.shard, epoch, 0.0, (status,), settled=settled)
+        bench.collect(bench.follower.handle(bench.scheduler, heartbeat, 0.1))
 
     def test_heartbeat_of_an_unsettled_scheduler_leaves_no_hints(self, bench):
         # In a rolling restart the roles move with each router. A new scheduler reports
--- a/packages/fulmarroad/tests/test_rebalance.py
+++ b/packages/fulmarroad/tests/test_rebalance.py
@@ -93,13 +93,13 @@
 
 
 class TestFairness:
-    def add_service(self, queue, name, amount):
+    def served(self, queue, name, amount):
         queue.add_remote(queue.account(name), amount)
 
     def test_lagging_workspace_moves_to_a_shard_that_serves_others(self):
         queue = queue_of(small=10)
         queue._mean = 10.0
-        self.add_service(queue, "large", 100.0)
+        self.served(queue, "large", 100.0)
         rebalancer = Rebalancer(HERE)
         rebalancer.note(report(NEAR, waiting=9, names=("large",)), 0.0, 1.0)
         assert len(plan(rebalancer, queue)) == 4
@@ -108,14 +108,14 @@
     def test_difference_below_the_threshold_moves_nothing(self, ahead):
         queue = queue_of(small=10)
         queue._mean = 10.0
-        self.add_service(queue, "large", ahead)
+        self.served(queue, "large", ahead)
         rebalancer = Rebalancer(HERE)
         rebalancer.note(report(NEAR, waiting=9, names=("large",)), 0.0, 1.0)
         assert plan(rebalancer, queue) == []
 
     def test_workspace_does_not_move_to_a_shard_where_it_already_waits(self):
         queue = queue_of(small=10)
-        self.add_service(queue, "large", 100.0)
+        self.served(queue, "large", 100.0)
         rebalancer = Rebalancer(HERE)
         rebalancer.note(report(NEAR, waiting=9, names=("large", "small")), 0.0, 1.0)
         assert plan(rebalancer, queue) == []
