--- a/packages/fulmarroad/src/fulmarroad/_rendezvous.py
+++ b/packages/fulmarroad/src/fulmarroad/_rendezvous.py
@@ -35,7 +35,7 @@
 
 
 def owner_of(shard: ShardId, live: Collection[RouterName]) -> RouterName | None:
-    """Return the first candidate for a shard, regardless of its other shards."""
+    """Return the first candidate for a shard, however many shards it has already."""
     return _first(f"shard\0{shard}", live)
 
 
