--- a/packages/fulmarroad/src/fulmarroad/_placement.py
+++ b/packages/fulmarroad/src/fulmarroad/_placement.py
@@ -1,11 +1,10 @@
-"""Choose where a request runs: a unit within a shard, and before that the shard.
-
-Patterns of load: a few prompts that take most of the load, a slow server, long work
-among short. Without affinity each server computes the same prompt prefixes again;
-with affinity alone the server that holds a popular prefix gets all of its requests
-while others idle. Operators would notice the first as a first-token time that grows
-with the prompt, the second as one full server among empty ones. Affinity therefore
-counts only while a server's load stays near the mean.
+"""Placement of requests: the choice of a shard, then of a unit within it.
+
+Load patterns: a few prompts that make up most of the load, a slow server, long requests
+among short ones. Without affinity each server computes the same prompt prefixes again,
+and the time to the first token grows with the prompt. With affinity alone, the server
+that has a popular prefix cached gets all of its requests while other servers idle.
+Affinity therefore counts only while a server's load is near the mean.
 """
 
 from __future__ import annotations
@@ -22,45 +21,46 @@
 from fulmarroad.types import ServerName, ShardId, Unit, Warmth
 
 LOAD_BOUND = 1.25
-"""How far above the mean load a server may be and still get a request for its cached
-prefix. At 1 affinity never counts, at 2 a popular prefix doubles one server's load; a
-quarter above the mean is about what queueing hides."""
+"""Multiple of the mean load up to which a server gets requests for its cached prefixes.
+At 1 affinity never counts; at 2 a popular prefix doubles the load of one server. The
+queueing delay of a load a quarter above the mean is hardly noticeable."""
 
 LOAD_SLACK = 0.1
-"""Load that is always allowed on top, so that an idle shard still follows prefixes."""
+"""Load that is allowed in addition to `LOAD_BOUND`, so that affinity also works in an
+idle shard."""
 
 PREFIX_BLOCKS = 4096
-"""Blocks remembered for each server, about what an engine's cache holds; at 100 bytes a
-block a shard of eight servers takes 3 MB at most."""
+"""Maximum number of blocks remembered per server, about as many as an engine's cache
+holds. At 100 bytes a block, a shard of eight servers needs at most 3 MB."""
 
-LONG_WORK = 4.0
-"""Multiple of the mean cost hint above which a request is long work: it is kept off
-servers that are not warm while another has room, as it would hold one of their few
-units through several steps of the ramp."""
+LONG_REQUEST_RATIO = 4.0
+"""Multiple of the mean cost hint above which a request counts as long. A long request
+is not placed on a server that is not warm while a warm one has a free unit, as it would
+occupy one of the few units for several steps of the ramp."""
 
-DISTANCE_S = 0.002
-"""A request's way to another data centre and back."""
+REMOTE_ROUND_TRIP_S = 0.002
+"""Round-trip time to another data centre."""
 
 WAIT_STEP_S = 0.05
-"""Waits within one step are alike: heartbeats are a quarter of a second old on average
-and a caller doesn't notice the rest."""
+"""Waits within the same step count as equal: heartbeats are a quarter of a second old
+on average, and callers don't notice smaller differences."""
 
-UNKNOWN_ROOM = 8.0
-"""Room taken for granted in a shard that was not heard of: about one server's, so that
-it is asked now and then and its heartbeats tell the truth."""
+ASSUMED_FREE_UNITS = 8.0
+"""Free units assumed in a shard that has sent no heartbeat: about those of one server,
+so that it is asked occasionally and its heartbeats then show its real load."""
 
-LOAD_BOUND_OF_SHARD = 0.9
-"""Load up to which a shard gets requests for its cached prefixes: fuller ones would
-make them wait while others have room."""
+SHARD_LOAD_BOUND = 0.9
+"""Load up to which a shard gets requests for its cached prefixes. In a fuller shard
+they would wait while other shards have free units."""
 
 HASH_RANGE = 2**64 + 1
 
 
 class PrefixMap:
-    """Remember which prompt prefixes each backend server has probably cached.
+    """Track which prompt prefixes each backend server has probably cached.
 
-    A hint, never the truth: own placements add to it, answers correct it, and what was
-    not used lately is dropped as the engine drops it.
+    The map is only an estimate: placements add to it, answers correct it, and the least
+    recently used blocks are dropped, as the engine drops them.
     """
 
     def __init__(self, blocks: int = PREFIX_BLOCKS) -> None:
@@ -68,34 +68,38 @@
         self._cached: dict[ServerName, OrderedDict[int, float]] = {}
 
     def note(self, server: ServerName, prefix: Sequence[int], now: float) -> None:
-        """Add a prefix that a server computed or said to have cached."""
-        known = self._cached.setdefault(server, OrderedDict())
-        for block in reversed(prefix):  # so that the shortest is dropped last
-            known[block] = now
-            known.move_to_end(block)
-        while len(known) > self._blocks:
-            known.popitem(last=False)
+        """Add a prefix that a server has computed or reported as cached."""
+        cached_at = self._cached.setdefault(server, OrderedDict())
+        for block in reversed(prefix):  # so that the first block is dropped last
+            cached_at[block] = now
+            cached_at.move_to_end(block)
+        while len(cached_at) > self._blocks:
+            cached_at.popitem(last=False)
 
     def correct(
         self, server: ServerName, prefix: Sequence[int], cached: int, now: float
     ) -> None:
-        """Take an answer's word: only `cached` leading blocks had been there."""
-        known = self._cached.get(server, OrderedDict())
+        """Update a prefix from an answer: its first `cached` blocks were cached before.
+
+        The server has computed the other blocks for the answer, so all of them are
+        cached now.
+        """
+        cached_at = self._cached.get(server, OrderedDict())
         for block in prefix[cached:]:
-            known.pop(block, None)
+            cached_at.pop(block, None)
         self.note(server, prefix, now)
 
     def forget(self, server: ServerName) -> None:
-        """Drop all of a server, for it turned cold or was restarted."""
+        """Drop all blocks of a server, because it turned cold or restarted."""
         self._cached.pop(server, None)
 
     def matched(self, server: ServerName, prefix: Sequence[int]) -> int:
-        """Return how many leading blocks of a prefix a server has cached."""
-        known = self._cached.get(server)
-        if known is None:
+        """Return the number of leading blocks of a prefix that a server has cached."""
+        cached_at = self._cached.get(server)
+        if cached_at is None:
             return 0
         for count, block in enumerate(prefix):
-            if block not in known:
+            if block not in cached_at:
                 return count
         return len(prefix)
 
@@ -115,24 +119,28 @@
     *,
     mean_cost: float | None = None,
 ) -> Unit | None:
-    """Return the free unit for a demand, or None where it avoids all that are free.
+    """Return the free unit for a demand, or None where it avoids all servers with one.
 
-    A server with a cached prefix goes first while its load is within `LOAD_BOUND` of
-    the mean; then warm before warming before cold, then the least loaded. `mean_cost`
-    is the shard's mean cost hint, which tells long work.
+    The order is: the longest cached prefix on a server whose load is within
+    `LOAD_BOUND` of the mean, then warm before warming before cold, then the lowest
+    load. `mean_cost` is the mean cost hint of the shard, to recognise long requests.
     """
-    servers = _candidates(demand, free, prefixes)
-    if not servers:
+    candidates = _candidates(demand, free, prefixes)
+    if not candidates:
         return None
-    if mean_cost and demand.cost_hint > LONG_WORK * mean_cost:
-        servers = [one for one in servers if one.warmth is Warmth.WARM] or servers
-    bound = _load_bound(servers)
-    return min(servers, key=lambda one: _order(one, bound)).unit
+    if mean_cost and demand.cost_hint > LONG_REQUEST_RATIO * mean_cost:
+        candidates = [
+            candidate for candidate in candidates if candidate.warmth is Warmth.WARM
+        ] or candidates
+    load_bound = _load_bound(candidates)
+    return min(
+        candidates, key=lambda candidate: _candidate_order(candidate, load_bound)
+    ).unit
 
 
 @frozen
 class ShardView:
-    """Show what a router knows of a shard."""
+    """Describe a shard as a router knows it."""
 
     shard: ShardId
     heartbeat: Heartbeat | None
@@ -146,11 +154,12 @@
 ) -> ShardId | None:
     """Return the shard to ask, or None where there is none.
 
-    Unreachable ones come last, then those in `avoid`, which were asked before. The
-    shorter expected wait goes first, room before none, the own data centre before
-    others, a cached prefix before none. What is still equal is spread by the hash of
-    `key`, in proportion to room: routers that all took the emptiest shard of the same
-    heartbeats would fill it together.
+    Unreachable shards come last, before them those in `avoid`, which were asked
+    already. The order of the others is: the shortest expected wait, shards with free
+    units, those of the own data centre, the longest cached prefix. Shards that are
+    still equal are chosen by the hash of `key`, weighted by their free units: routers
+    have the same heartbeats, and if all of them chose the emptiest shard they would
+    fill it together.
     """
     ranked = sorted(views, key=lambda view: _shard_order(view, avoid, key))
     return ranked[0].shard if ranked else None
@@ -159,65 +168,72 @@
 def _candidates(
     demand: Demand, free: Sequence[FreeUnit], prefixes: PrefixMap
 ) -> list[_Candidate]:
-    found: dict[ServerName, _Candidate] = {}
-    for offer in free:
-        server = offer.unit.server
-        if server in found or server in demand.avoid:
+    candidates: dict[ServerName, _Candidate] = {}
+    for free_unit in free:
+        server = free_unit.unit.server
+        if server in candidates or server in demand.avoid:
             continue
-        load = offer.running / max(1, offer.limit)
+        load = free_unit.running / max(1, free_unit.limit)
         matched = prefixes.matched(server, demand.prefix)
-        found[server] = _Candidate(offer.unit, offer.warmth, load, matched)
-    return list(found.values())
+        candidates[server] = _Candidate(free_unit.unit, free_unit.warmth, load, matched)
+    return list(candidates.values())
 
 
-def _load_bound(servers: Sequence[_Candidate]) -> float:
-    mean = sum(one.load for one in servers) / len(servers)
+def _load_bound(candidates: Sequence[_Candidate]) -> float:
+    mean = sum(candidate.load for candidate in candidates) / len(candidates)
     return LOAD_BOUND * mean + LOAD_SLACK
 
 
-_WARMTH_ORDER = {Warmth.WARM: 0, Warmth.WARMING: 1, Warmth.COLD: 2, Warmth.FAILING: 3}
+_WARMTH_RANK = {Warmth.WARM: 0, Warmth.WARMING: 1, Warmth.COLD: 2, Warmth.FAILING: 3}
 
 
-def _order(one: _Candidate, bound: float) -> tuple[int, int, float, ServerName]:
-    matched = one.matched if one.load <= bound else 0
-    return (-matched, _WARMTH_ORDER[one.warmth], one.load, one.unit.server)
+def _candidate_order(
+    candidate: _Candidate, load_bound: float
+) -> tuple[int, int, float, ServerName]:
+    matched = candidate.matched if candidate.load <= load_bound else 0
+    return (
+        -matched,
+        _WARMTH_RANK[candidate.warmth],
+        candidate.load,
+        candidate.unit.server,
+    )
 
 
 def _shard_order(
     view: ShardView, avoid: Collection[ShardId], key: str
 ) -> tuple[bool, bool, int, bool, bool, int, float]:
-    standing = _standing(view)
+    shard_load = _shard_load(view)
     return (
         not view.reachable,
         view.shard in avoid,
-        int(standing.wait_s / WAIT_STEP_S),
-        standing.room <= 0,
+        int(shard_load.wait_s / WAIT_STEP_S),
+        shard_load.free_units <= 0,
         not view.own_centre,
-        -view.prefix_blocks if standing.load <= LOAD_BOUND_OF_SHARD else 0,
-        _spread(key, view.shard, standing.room),
+        -view.prefix_blocks if shard_load.load <= SHARD_LOAD_BOUND else 0,
+        _weighted_draw(key, view.shard, shard_load.free_units),
     )
 
 
 @frozen
-class _Standing:
+class _ShardLoad:
     wait_s: float
-    room: float
+    free_units: float
     load: float
 
 
-def _standing(view: ShardView) -> _Standing:
-    distance = 0.0 if view.own_centre else DISTANCE_S
-    beat = view.heartbeat
-    if beat is None:
-        return _Standing(distance, UNKNOWN_ROOM, 0.0)
-    usable = sum(row.usable for row in beat.servers)
-    running = sum(row.running for row in beat.servers)
-    room = usable - running - beat.waiting
+def _shard_load(view: ShardView) -> _ShardLoad:
+    round_trip_s = 0.0 if view.own_centre else REMOTE_ROUND_TRIP_S
+    heartbeat = view.heartbeat
+    if heartbeat is None:
+        return _ShardLoad(round_trip_s, ASSUMED_FREE_UNITS, 0.0)
+    usable = sum(row.usable for row in heartbeat.servers)
+    running = sum(row.running for row in heartbeat.servers)
+    free_units = usable - running - heartbeat.waiting
     load = running / usable if usable else 1.0
-    return _Standing(beat.wait_s + distance, room, load)
+    return _ShardLoad(heartbeat.wait_s + round_trip_s, free_units, load)
 
 
-def _spread(key: str, shard: ShardId, room: float) -> float:
-    """Return a point by which requests spread over shards in proportion to room."""
-    point = xxhash.xxh3_64_intdigest(f"{key}\0{shard}".encode()) + 1
-    return -math.log(point / HASH_RANGE) / max(1.0, room)
+def _weighted_draw(key: str, shard: ShardId, free_units: float) -> float:
+    """Return a sort key that spreads requests over shards by their free units."""
+    draw = xxhash.xxh3_64_intdigest(f"{key}\0{shard}".encode()) + 1
+    return -math.log(draw / HASH_RANGE) / max(1.0, free_units)
--- a/packages/fulmarroad/src/fulmarroad/admission.py
+++ b/packages/fulmarroad/src/fulmarroad/admission.py
@@ -1,4 +1,4 @@
-"""Let requests in, refuse those that can't be served in time, limit retries."""
+"""Admission control and retry budgets."""
 
 from fulmarroad._admission import Admission as Admission
 from fulmarroad._admission import LoadView as LoadView
--- a/packages/fulmarroad/src/fulmarroad/placement.py
+++ b/packages/fulmarroad/src/fulmarroad/placement.py
@@ -1,4 +1,4 @@
-"""Choose the unit for a demand, and the shard to ask."""
+"""Choice of the shard and the unit that run a request."""
 
 from fulmarroad._placement import PrefixMap as PrefixMap
 from fulmarroad._placement import ShardView as ShardView
--- a/packages/fulmarroad/src/fulmarroad/shifting.py
+++ b/packages/fulmarroad/src/fulmarroad/shifting.py
@@ -1,4 +1,4 @@
-"""Shift work at once off a data centre that left, slowly back to one that returned."""
+"""Immediate removal of load from a data centre that leaves, and its gradual return."""
 
 from fulmarroad._shifting import CentreChange as CentreChange
 from fulmarroad._shifting import CentreShift as CentreShift
--- a/packages/fulmarroad/tests/test_placement.py
+++ b/packages/fulmarroad/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Requests follow cached prefixes while load stays even, and their own data centre."""
+"""Placement prefers cached prefixes and the own data centre while load stays even."""
 
 from collections import Counter
 
@@ -16,19 +16,19 @@
     return Demand(SHARD, "d1", "coop", 1.0, cost, 0.0, 30.0, prefix, True, avoid)
 
 
-def offer(server, running=0, limit=8, warmth=Warmth.WARM):
+def free_unit(server, running=0, limit=8, warmth=Warmth.WARM):
     return FreeUnit(Unit(server, running), warmth, running, limit)
 
 
 class TestPrefixMap:
-    def test_matches_leading_blocks_only(self):
+    def test_matches_only_leading_blocks(self):
         prefixes = PrefixMap()
         prefixes.note("s1", (1, 2, 3), 0.0)
         assert prefixes.matched("s1", (1, 2, 9)) == 2
         assert prefixes.matched("s1", (9, 2, 3)) == 0
         assert prefixes.matched("s2", (1,)) == 0
 
-    def test_drops_what_was_not_used_lately(self):
+    def test_drops_the_least_recently_used_blocks(self):
         prefixes = PrefixMap(blocks=4)
         prefixes.note("s1", (1, 2), 0.0)
         prefixes.note("s1", (3, 4), 1.0)
@@ -37,20 +37,21 @@
         assert prefixes.matched("s1", (1, 2)) == 2
         assert prefixes.matched("s1", (3, 4)) == 0
 
-    def test_the_end_of_a_prefix_is_dropped_before_its_beginning(self):
+    def test_drops_the_end_of_a_prefix_before_its_beginning(self):
         prefixes = PrefixMap(blocks=3)
         prefixes.note("s1", (1, 2, 3, 4), 0.0)
         assert prefixes.matched("s1", (1, 2, 3, 4)) == 3
 
-    def test_an_answer_corrects_what_was_believed(self):
-        # The engine dropped a prefix for lack of memory and its event came late. The
-        # answer says that nothing was cached; what it computed is cached from now on.
+    def test_answer_corrects_the_cached_blocks(self):
+        # The engine dropped a prefix for lack of memory, and its event came late. The
+        # answer reports that nothing was cached; the blocks it computed are cached from
+        # now on.
         prefixes = PrefixMap(blocks=100)
         prefixes.note("s1", (1, 2, 3), 0.0)
         prefixes.correct("s1", (1, 2, 7), 0, 1.0)
         assert prefixes.matched("s1", (1, 2, 7)) == 3
 
-    def test_forgets_a_server_that_turned_cold(self):
+    def test_forget_drops_all_blocks_of_a_server(self):
         prefixes = PrefixMap()
         prefixes.note("s1", (1,), 0.0)
         prefixes.forget("s1")
@@ -58,63 +59,63 @@
 
 
 class TestChooseUnit:
-    def test_takes_the_least_loaded_server(self):
-        free = [offer("s1", 4), offer("s2", 2), offer("s3", 3, limit=32)]
+    def test_chooses_the_least_loaded_server(self):
+        free = [free_unit("s1", 4), free_unit("s2", 2), free_unit("s3", 3, limit=32)]
         assert choose_unit(demand(), free, PrefixMap()).server == "s3"
 
-    def test_follows_a_cached_prefix(self):
+    def test_prefers_a_server_with_the_cached_prefix(self):
         prefixes = PrefixMap()
         prefixes.note("s1", (1, 2), 0.0)
-        free = [offer("s1", 3), offer("s2", 3)]
+        free = [free_unit("s1", 3), free_unit("s2", 3)]
         assert choose_unit(demand((1, 2)), free, prefixes).server == "s1"
 
-    def test_a_popular_prefix_does_not_fill_one_server(self):
-        # Nine in ten requests begin with the same prompt. Followed blindly all of
-        # them would go to the server that has it cached while the others idle.
+    def test_popular_prefix_does_not_fill_one_server(self):
+        # Nine in ten requests begin with the same prompt. Without a load bound, all of
+        # these would be placed on the server that has it cached while the others idle.
         prefixes = PrefixMap()
         running = Counter()
         for _ in range(24):
-            free = [offer(name, running[name]) for name in ("s1", "s2", "s3", "s4")]
+            free = [free_unit(name, running[name]) for name in ("s1", "s2", "s3", "s4")]
             unit = choose_unit(demand((1, 2)), free, prefixes)
             prefixes.note(unit.server, (1, 2), 0.0)
             running[unit.server] += 1
         assert max(running.values()) <= 8
         assert min(running.values()) >= 4
 
-    def test_warm_goes_before_warming_before_cold(self):
+    def test_prefers_warm_over_warming_over_cold_servers(self):
         free = [
-            offer("s1", 0, 1, Warmth.COLD),
-            offer("s2", 1, 4, Warmth.WARMING),
-            offer("s3", 5, 8),
+            free_unit("s1", 0, 1, Warmth.COLD),
+            free_unit("s2", 1, 4, Warmth.WARMING),
+            free_unit("s3", 5, 8),
         ]
-        order = []
+        chosen = []
         while free:
             unit = choose_unit(demand(), free, PrefixMap())
-            order.append(unit.server)
-            free = [one for one in free if one.unit != unit]
-        assert order == ["s3", "s2", "s1"]
+            chosen.append(unit.server)
+            free = [candidate for candidate in free if candidate.unit != unit]
+        assert chosen == ["s3", "s2", "s1"]
 
-    def test_a_cold_server_gets_work_when_no_other_has_room(self):
+    def test_chooses_a_cold_server_when_no_other_is_free(self):
         assert choose_unit(
             demand(cost=9000.0),
-            [offer("s1", 0, 1, Warmth.COLD)],
+            [free_unit("s1", 0, 1, Warmth.COLD)],
             PrefixMap(),
             mean_cost=100.0,
         ) == Unit("s1", 0)
 
-    def test_long_work_keeps_off_a_server_that_warms_up(self):
-        # A long request holds one of the few units of a warming server through
-        # several steps of its ramp, though its prefix may well be cached there.
+    def test_long_request_avoids_a_warming_server(self):
+        # A long request occupies one of the few units of a warming server for several
+        # steps of its ramp, even if its prefix is cached there.
         prefixes = PrefixMap()
         prefixes.note("s1", (1, 2), 0.0)
-        free = [offer("s1", 0, 4, Warmth.WARMING), offer("s2", 1)]
+        free = [free_unit("s1", 0, 4, Warmth.WARMING), free_unit("s2", 1)]
         long = demand((1, 2), cost=900.0)
         short = demand((1, 2), cost=100.0)
         assert choose_unit(long, free, prefixes, mean_cost=100.0).server == "s2"
         assert choose_unit(short, free, prefixes, mean_cost=100.0).server == "s1"
 
-    def test_avoids_servers_that_failed_the_request(self):
-        free = [offer("s1"), offer("s2", 7)]
+    def test_avoids_the_servers_of_failed_attempts(self):
+        free = [free_unit("s1"), free_unit("s2", 7)]
         assert choose_unit(demand(avoid=("s1",)), free, PrefixMap()).server == "s2"
         assert choose_unit(demand(avoid=("s1", "s2")), free, PrefixMap()) is None
 
@@ -131,33 +132,33 @@
 
 
 class TestChooseShard:
-    def test_the_own_data_centre_goes_first_while_it_has_room(self):
+    def test_prefers_the_own_data_centre_while_it_has_free_units(self):
         views = [view(0), view(0, "rabat-1", running=0)]
         chosen = {choose(views, f"r{n}").data_centre for n in range(100)}
         assert chosen == {"fes-1"}
 
-    @pytest.mark.parametrize("full", [{"running": 8}, {"wait_s": 0.3}])
-    def test_another_data_centre_takes_over_when_the_own_one_is_full(self, full):
-        # Callers come in unevenly: one data centre's servers are full while those of
-        # another, two milliseconds away, idle.
-        views = [view(0, **full), view(0, "rabat-1")]
+    @pytest.mark.parametrize("load", [{"running": 8}, {"wait_s": 0.3}])
+    def test_chooses_another_data_centre_when_the_own_one_is_full(self, load):
+        # Callers are spread unevenly: the servers of one data centre are full while
+        # those of another, two milliseconds away, idle.
+        views = [view(0, **load), view(0, "rabat-1")]
         assert choose(views).data_centre == "rabat-1"
 
-    def test_all_full_the_shortest_wait_goes_first(self):
+    def test_chooses_the_shortest_wait_when_all_shards_are_full(self):
         views = [
             view(0, wait_s=2.0, running=8),
             view(0, "rabat-1", wait_s=0.5, running=8),
         ]
         assert choose(views).data_centre == "rabat-1"
 
-    def test_requests_spread_in_proportion_to_room(self):
-        # Heartbeats are the same at all routers. If each took the emptiest shard all
-        # of them would fill it until the next heartbeats.
+    def test_spreads_requests_in_proportion_to_free_units(self):
+        # All routers have the same heartbeats. If each chose the emptiest shard, they
+        # would fill it before the next heartbeats.
         views = [view(0, running=2), view(1, running=5)]
         counts = Counter(choose(views, f"r{n}").index for n in range(3000))
         assert 0.60 < counts[0] / 3000 < 0.73
 
-    def test_a_prefix_counts_while_the_shard_has_room(self):
+    def test_cached_prefix_counts_only_while_the_shard_has_free_units(self):
         views = [view(0), view(1, blocks=3)]
         assert {choose(views, f"r{n}").index for n in range(50)} == {1}
         views = [view(0), view(1, blocks=3, running=8)]
@@ -170,7 +171,7 @@
         assert choose([views[0]]).index == 0
         assert choose([]) is None
 
-    def test_a_shard_that_was_never_heard_of_is_tried(self):
+    def test_shard_without_a_heartbeat_is_tried(self):
         unknown = ShardView(ShardId("drafting", "fes-1", 7), None, True, True)
         chosen = {choose([view(0), unknown], f"r{n}").index for n in range(50)}
         assert chosen == {0, 7}
--- a/packages/fulmarroad/tests/test_retries.py
+++ b/packages/fulmarroad/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries are paid from a budget, and never made where a call might run twice."""
+"""Retries are limited by a budget and never made where a call might run twice."""
 
 import pytest
 
@@ -16,20 +16,20 @@
     return Attempt(**(fields | changes))
 
 
-def spend(budget, pool, now):
-    """Take all retries of a pool's budget."""
-    taken = 0
+def drain(budget, pool, now):
+    """Use up the retry budget of a pool."""
+    retries = 0
     while budget.may_retry(pool, now):
-        taken += 1
-        assert taken < 100, "the budget has no end"
+        retries += 1
+        assert retries < 100, "the budget is not limited"
 
 
 class TestRetryBudget:
     @pytest.mark.parametrize("per_second", [1, 50, 200])
-    def test_an_outage_is_not_amplified(self, per_second):
-        # Every server of a pool fails for five minutes and each request is tried up
-        # to three times. The servers would see three times the callers' load just as
-        # they try to come back.
+    def test_retries_do_not_multiply_the_load_of_an_outage(self, per_second):
+        # Every server of a pool fails for five minutes and each request may be tried up
+        # to three times. Without a budget the servers would get three times the
+        # callers' load while they try to recover.
         budget = RetryBudget()
         requests = sent = 0
         for second in range(300):
@@ -48,21 +48,21 @@
         assert sent <= 1.1 * requests + 10 + 0.1 * 300
         assert sent > requests
 
-    def test_a_quiet_pool_may_retry(self):
+    def test_pool_with_few_requests_may_retry(self):
         budget = RetryBudget()
         for hour in range(20):
             now = 3600.0 * hour
             budget.note_request("ledger", now)
             assert budget.may_retry("ledger", now)
 
-    def test_pools_pay_for_themselves(self):
+    def test_each_pool_has_its_own_budget(self):
         budget = RetryBudget()
-        spend(budget, "drafting", 0.0)
+        drain(budget, "drafting", 0.0)
         assert budget.may_retry("ledger", 0.0)
 
-    def test_a_clock_that_stands_still_or_steps_back_adds_nothing(self):
+    def test_stopped_or_backward_clock_adds_no_retries(self):
         budget = RetryBudget()
-        spend(budget, "drafting", 100.0)
+        drain(budget, "drafting", 100.0)
         assert not budget.may_retry("drafting", 50.0)
         assert not budget.may_retry("drafting", 100.0)
 
@@ -80,11 +80,11 @@
             ({"expected_s": 11.0}, RetryDecision.NO_TIME),
         ],
     )
-    def test_decides(self, changes, decision):
+    def test_decision_depends_on_the_attempt(self, changes, decision):
         found = RetryBudget().decide("drafting", attempt(**changes), 0.0)
         assert found is decision
 
-    def test_only_a_retry_takes_from_the_budget(self):
+    def test_only_retry_decisions_reduce_the_budget(self):
         budget = RetryBudget()
         for _ in range(50):
             budget.decide("drafting", attempt(repeatable=False), 0.0)
--- a/packages/fulmarroad/tests/test_shifting.py
+++ b/packages/fulmarroad/tests/test_shifting.py
@@ -1,4 +1,4 @@
-"""A data centre leaves at once, returns slowly, and slower the more it flaps."""
+"""A data centre leaves at once and returns slowly, more slowly the more it flaps."""
 
 import pytest
 
@@ -16,8 +16,8 @@
     return Tables(version, data_centres=rows)
 
 
-def run_until(shift, begin, end, step=0.5):
-    """Tick through a span; return the share at each moment."""
+def shares_during(shift, begin, end, step=0.5):
+    """Tick from `begin` to `end`; return the share of fes-1 after each tick."""
     shares = []
     now = begin
     while now <= end:
@@ -28,14 +28,15 @@
 
 
 class TestCentreShift:
-    def test_a_router_without_memory_takes_what_the_first_tables_say(self):
+    def test_first_tables_apply_without_hold_or_ramp(self):
         shift = CentreShift()
         shift.update(tables("fes-2"), 0.0)
         assert [shift.share(name, 0.0) for name in CENTRES] == [1.0, 0.0, 1.0]
 
-    def test_leaving_is_immediate(self):
-        # Operators take a data centre out because something in it is about to fail. A
-        # router that eased its share down would send calls into it meanwhile.
+    def test_data_centre_out_of_service_gets_no_new_work(self):
+        # Operators take a data centre out of service because something in it is about
+        # to fail. A router that reduced its share gradually would still send calls
+        # there.
         shift = CentreShift()
         shift.update(tables(), 0.0)
         [change] = shift.update(tables("fes-1"), 5.0)
@@ -43,20 +44,20 @@
         assert not shift.takes_work("fes-1", 5.0)
         assert not any(shift.takes("fes-1", f"r{n}", 5.0) for n in range(200))
 
-    def test_returning_ramps_up_in_a_stated_time(self):
-        # A data centre returns with cold servers. If every router turned to them at
-        # once, callers would queue there while warm servers elsewhere had room.
+    def test_returning_data_centre_ramps_up_within_the_time_limit(self):
+        # A data centre returns with cold servers. If every router sent it a full share
+        # at once, requests would queue there while warm servers elsewhere are free.
         shift = CentreShift()
         shift.update(tables(), 0.0)
         shift.update(tables("fes-1"), 1.0)
         shift.update(tables(), 100.0)
-        shares = run_until(shift, 100.0, 123.0)
+        shares = shares_during(shift, 100.0, 123.0)
         assert shares[:4] == [0.0] * 4
         assert shares == sorted(shares)
         assert 0 < shares[4] <= 0.2
         assert shares[-1] == 1.0
 
-    def test_one_request_keeps_its_answer_as_the_share_grows(self):
+    def test_request_stays_accepted_as_the_share_grows(self):
         shift = CentreShift()
         shift.update(tables(), 0.0)
         shift.update(tables("fes-1"), 1.0)
@@ -66,24 +67,24 @@
         late = {n for n in range(300) if shift.takes("fes-1", f"r{n}", 114.0)}
         assert early < late
 
-    def test_a_flapping_data_centre_is_held_back_longer_each_time(self):
-        # A script toggles the table every 10 s. Each return would pull callers over
-        # to cold servers and the next departure back again; with the hold the data
-        # centre soon takes nothing until the flapping ends.
+    def test_flapping_data_centre_is_held_longer_each_time(self):
+        # A script toggles the state in the table every 10 s. Without the hold, each
+        # return would move callers to cold servers and the next departure would move
+        # them back. With it, the data centre soon gets no work until the flapping ends.
         shift = CentreShift()
         shift.update(tables(), 0.0)
-        taken = []
+        max_shares = []
         for flap in range(12):
             begin = 20.0 * flap
             shift.update(tables("fes-1"), begin)
             shift.update(tables(), begin + 10)
-            taken.append(max(run_until(shift, begin + 10, begin + 19)))
-        assert taken[0] > 0
-        assert set(taken[3:]) == {0.0}
+            max_shares.append(max(shares_during(shift, begin + 10, begin + 19)))
+        assert max_shares[0] > 0
+        assert set(max_shares[3:]) == {0.0}
         last_return = 230.0
-        assert run_until(shift, last_return, last_return + 64 + 20)[-1] == 1.0
+        assert shares_during(shift, last_return, last_return + 64 + 20)[-1] == 1.0
 
-    def test_flaps_are_forgotten(self):
+    def test_old_departures_do_not_count(self):
         shift = CentreShift()
         shift.update(tables(), 0.0)
         for flap in range(6):
@@ -91,18 +92,18 @@
             shift.update(tables(), 10.0 * flap + 5)
         shift.update(tables("fes-1"), 2000.0)
         shift.update(tables(), 2010.0)
-        assert run_until(shift, 2010.0, 2012.5)[-1] > 0
+        assert shares_during(shift, 2010.0, 2012.5)[-1] > 0
 
-    def test_the_only_data_centre_is_not_held_back(self):
-        # All data centres were out and one is back: holding it would refuse every
-        # caller while its servers idle.
+    def test_only_data_centre_is_not_held(self):
+        # All data centres were out of service and one returns. With a hold, every
+        # caller would be refused while its servers idle.
         shift = CentreShift()
         shift.update(tables(), 0.0)
         shift.update(tables(*CENTRES), 1.0)
         shift.update(tables("fes-2", "rabat-1"), 2.0)
         assert shift.share("fes-1", 2.0) == 1.0
 
-    def test_a_table_without_the_data_centre_takes_it_out(self):
+    def test_data_centre_missing_from_the_tables_is_out(self):
         shift = CentreShift()
         shift.update(tables(), 0.0)
         shift.update(Tables(2, data_centres={}), 1.0)
