--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -201,8 +201,8 @@
         ):
             reason = RefusalReason.WORKSPACE_QUEUE_FULL
             return _build_refusal(reason, view.wait_s, request_id)
-        queue_full = len(self._waiting) >= self._max_waiting
-        if queue_full and not self._shed_for(workspace, now):
+        full = len(self._waiting) >= self._max_waiting
+        if full and not self._shed_for(workspace, now):
             return _build_refusal(RefusalReason.QUEUE_FULL, view.wait_s, request_id)
         return None
 
@@ -234,18 +234,18 @@
 
     def _wait_ratio(self, entry: _Waiting, now: float) -> float:
         """Return the remaining wait as a multiple of the time left."""
-        time_left_s = entry.deadline - now
-        if time_left_s <= 0:
+        left = entry.deadline - now
+        if left <= 0:
             return math.inf
         remaining_wait_s = self._wait_s.get(entry.pool, 0.0) - (now - entry.queued_at)
-        return remaining_wait_s / time_left_s
+        return remaining_wait_s / left
 
     def _shed_request(
         self, request_id: str, entry: _Waiting, reason: RefusalReason
     ) -> None:
         self.leave(request_id)
-        wait_s = self._wait_s.get(entry.pool, 0.0)
-        self._shed.append((request_id, _build_refusal(reason, wait_s, request_id)))
+        wait = self._wait_s.get(entry.pool, 0.0)
+        self._shed.append((request_id, _build_refusal(reason, wait, request_id)))
 
 
 def _shed_reason(entry: _Waiting, now: float) -> RefusalReason:
@@ -254,7 +254,7 @@
     return RefusalReason.WAIT_TOO_LONG
 
 
-def _build_refusal(reason: RefusalReason, delay_s: float, request_id: str) -> Refusal:
+def _build_refusal(reason: RefusalReason, after_s: float, request_id: str) -> Refusal:
     fraction = xxhash.xxh3_64_intdigest(request_id.encode()) / 2**64
-    delay_s = max(MIN_RETRY_AFTER_S, delay_s) * (1 + RETRY_AFTER_JITTER * fraction)
-    return Refusal(reason, min(MAX_RETRY_AFTER_S, delay_s))
+    after_s = max(MIN_RETRY_AFTER_S, after_s) * (1 + RETRY_AFTER_JITTER * fraction)
+    return Refusal(reason, min(MAX_RETRY_AFTER_S, after_s))
--- a/packages/fulmarroad/src/fulmarroad/_placement.py
+++ b/packages/fulmarroad/src/fulmarroad/_placement.py
@@ -69,12 +69,12 @@
 
     def note(self, server: ServerName, prefix: Sequence[int], now: float) -> None:
         """Add a prefix that a server has computed or reported as cached."""
-        cached_at = self._cached.setdefault(server, OrderedDict())
+        known = self._cached.setdefault(server, OrderedDict())
         for block in reversed(prefix):  # so that the first block is dropped last
-            cached_at[block] = now
-            cached_at.move_to_end(block)
-        while len(cached_at) > self._blocks:
-            cached_at.popitem(last=False)
+            known[block] = now
+            known.move_to_end(block)
+        while len(known) > self._blocks:
+            known.popitem(last=False)
 
     def correct(
         self, server: ServerName, prefix: Sequence[int], cached: int, now: float
@@ -84,9 +84,9 @@
         The server has computed the other blocks for the answer, so all of them are
         cached now.
         """
-        cached_at = self._cached.get(server, OrderedDict())
+        known = self._cached.get(server, OrderedDict())
         for block in prefix[cached:]:
-            cached_at.pop(block, None)
+            known.pop(block, None)
         self.note(server, prefix, now)
 
     def forget(self, server: ServerName) -> None:
@@ -95,11 +95,11 @@
 
     def matched(self, server: ServerName, prefix: Sequence[int]) -> int:
         """Return the number of leading blocks of a prefix that a server has cached."""
-        cached_at = self._cached.get(server)
-        if cached_at is None:
+        known = self._cached.get(server)
+        if known is None:
             return 0
         for count, block in enumerate(prefix):
-            if block not in cached_at:
+            if block not in known:
                 return count
         return len(prefix)
 
@@ -125,16 +125,16 @@
     `LOAD_BOUND` of the mean, then warm before warming before cold, then the lowest
     load. `mean_cost` is the mean cost hint of the shard, to recognise long requests.
     """
-    candidates = _candidates(demand, free, prefixes)
-    if not candidates:
+    servers = _candidates(demand, free, prefixes)
+    if not servers:
         return None
     if mean_cost and demand.cost_hint > LONG_REQUEST_RATIO * mean_cost:
-        candidates = [
-            candidate for candidate in candidates if candidate.warmth is Warmth.WARM
-        ] or candidates
-    load_bound = _load_bound(candidates)
+        servers = [
+            candidate for candidate in servers if candidate.warmth is Warmth.WARM
+        ] or servers
+    load_bound = _load_bound(servers)
     return min(
-        candidates, key=lambda candidate: _candidate_order(candidate, load_bound)
+        servers, key=lambda candidate: _candidate_order(candidate, load_bound)
     ).unit
 
 
@@ -168,19 +168,19 @@
 def _candidates(
     demand: Demand, free: Sequence[FreeUnit], prefixes: PrefixMap
 ) -> list[_Candidate]:
-    candidates: dict[ServerName, _Candidate] = {}
+    by_server: dict[ServerName, _Candidate] = {}
     for free_unit in free:
         server = free_unit.unit.server
-        if server in candidates or server in demand.avoid:
+        if server in by_server or server in demand.avoid:
             continue
         load = free_unit.running / max(1, free_unit.limit)
         matched = prefixes.matched(server, demand.prefix)
-        candidates[server] = _Candidate(free_unit.unit, free_unit.warmth, load, matched)
-    return list(candidates.values())
+        by_server[server] = _Candidate(free_unit.unit, free_unit.warmth, load, matched)
+    return list(by_server.values())
 
 
-def _load_bound(candidates: Sequence[_Candidate]) -> float:
-    mean = sum(candidate.load for candidate in candidates) / len(candidates)
+def _load_bound(servers: Sequence[_Candidate]) -> float:
+    mean = sum(candidate.load for candidate in servers) / len(servers)
     return LOAD_BOUND * mean + LOAD_SLACK
 
 
--- a/packages/fulmarroad/src/fulmarroad/_shifting.py
+++ b/packages/fulmarroad/src/fulmarroad/_shifting.py
@@ -180,11 +180,7 @@
 ) -> tuple[CentreChange, ...]:
     if centre.state is CentreState.OUT:
         return ()
-    recent = [
-        departed_at
-        for departed_at in centre.departures
-        if now - departed_at < FLAP_WINDOW_S
-    ]
+    recent = [at for at in centre.departures if now - at < FLAP_WINDOW_S]
     centre.departures = [*recent, now][-MAX_DEPARTURES:]
     return _set_state(name, centre, CentreState.OUT, "tables took it out")
 
@@ -192,11 +188,7 @@
 def _mark_returned(
     name: DataCentreName, centre: _Centre, now: float
 ) -> tuple[CentreChange, ...]:
-    recent = [
-        departed_at
-        for departed_at in centre.departures
-        if now - departed_at < FLAP_WINDOW_S
-    ]
+    recent = [at for at in centre.departures if now - at < FLAP_WINDOW_S]
     centre.ramp_starts_at = now + hold_time(len(recent))
     cause = f"tables brought it back, departure {len(recent)} of late"
     return _set_state(name, centre, CentreState.HELD, cause)
--- a/packages/fulmarroad/tests/test_admission.py
+++ b/packages/fulmarroad/tests/test_admission.py
@@ -15,11 +15,11 @@
     return LoadView("drafting", wait_s, servers, remaining_s)
 
 
-def submit(admission, workspace, count, now=0.0, load=None):
+def submit(admission, workspace, count, now=0.0, seen=None):
     """Submit `count` requests of a workspace; return how many were admitted."""
     refusals = [
         admission.admit(
-            f"{workspace.name}-{now}-{n}", workspace, ROUTE, load or view(), now
+            f"{workspace.name}-{now}-{n}", workspace, ROUTE, seen or view(), now
         )
         for n in range(count)
     ]
@@ -28,7 +28,7 @@
 
 class TestRefusals:
     @pytest.mark.parametrize(
-        ("load", "reason"),
+        ("seen", "reason"),
         [
             (view(servers=0), RefusalReason.NO_SERVERS),
             (view(wait_s=10.5), RefusalReason.WAIT_TOO_LONG),
@@ -36,9 +36,9 @@
             (view(remaining_s=0.0), RefusalReason.DEADLINE_PASSED),
         ],
     )
-    def test_refuses_at_once_when_the_wait_exceeds_the_time_limit(self, load, reason):
+    def test_refuses_at_once_when_the_wait_exceeds_the_time_limit(self, seen, reason):
         admission = Admission()
-        refusal = admission.admit("r1", Workspace("coop"), ROUTE, load, 0.0)
+        refusal = admission.admit("r1", Workspace("coop"), ROUTE, seen, 0.0)
         assert refusal is not None
         assert refusal.reason is reason
         assert admission.waiting == 0
@@ -106,7 +106,7 @@
         # requests, which can't be served in time any more, would refuse one that can.
         admission = Admission()
         workspace = Workspace("coop", max_waiting=2)
-        submit(admission, workspace, 2, load=view(remaining_s=3.0))
+        submit(admission, workspace, 2, seen=view(remaining_s=3.0))
         assert admission.admit("early", workspace, ROUTE, view(2.9), 0.5) is not None
         assert admission.admit("late", workspace, ROUTE, view(4.0), 1.0) is None
         assert admission.waiting_in("coop") == 2
@@ -152,9 +152,9 @@
         for step in range(int(seconds * 10)):
             now = step / 10
             for n in range(arrivals(now)):
-                load = view(wait_s=len(queue) / rate)
+                seen = view(wait_s=len(queue) / rate)
                 name = f"{step}-{n}"
-                if admission.admit(name, workspace, ROUTE, load, now):
+                if admission.admit(name, workspace, ROUTE, seen, now):
                     refused += 1
                 else:
                     queue.append((name, now))
--- a/packages/fulmarroad/tests/test_placement.py
+++ b/packages/fulmarroad/tests/test_placement.py
@@ -88,12 +88,12 @@
             free_unit("s2", 1, 4, Warmth.WARMING),
             free_unit("s3", 5, 8),
         ]
-        chosen = []
+        order = []
         while free:
             unit = choose_unit(demand(), free, PrefixMap())
-            chosen.append(unit.server)
+            order.append(unit.server)
             free = [candidate for candidate in free if candidate.unit != unit]
-        assert chosen == ["s3", "s2", "s1"]
+        assert order == ["s3", "s2", "s1"]
 
     def test_chooses_a_cold_server_when_no_other_is_free(self):
         assert choose_unit(
@@ -137,11 +137,11 @@
         chosen = {choose(views, f"r{n}").data_centre for n in range(100)}
         assert chosen == {"fes-1"}
 
-    @pytest.mark.parametrize("load", [{"running": 8}, {"wait_s": 0.3}])
-    def test_chooses_another_data_centre_when_the_own_one_is_full(self, load):
+    @pytest.mark.parametrize("full", [{"running": 8}, {"wait_s": 0.3}])
+    def test_chooses_another_data_centre_when_the_own_one_is_full(self, full):
         # Callers are spread unevenly: the servers of one data centre are full while
         # those of another, two milliseconds away, idle.
-        views = [view(0, **load), view(0, "rabat-1")]
+        views = [view(0, **full), view(0, "rabat-1")]
         assert choose(views).data_centre == "rabat-1"
 
     def test_chooses_the_shortest_wait_when_all_shards_are_full(self):
