--- a/packages/fulmarroad/src/fulmarroad/_checks.py
+++ b/packages/fulmarroad/src/fulmarroad/_checks.py
@@ -1,7 +1,7 @@
-"""Checks of single values and rows, shared by tables and settings.
+"""Checks of single values and rows from TOML, shared by tables and settings.
 
-A check takes a raw value from TOML and returns the value to keep, or raises
-`ValueError` with a text that ends the sentence "FIELD: …" in the user's words.
+A check takes a raw value and returns the value to store, or raises `ValueError` with a
+text that completes the message "FIELD: …" for the user.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 Check = Callable[[Any], Any]
 Report = Callable[[str, str], None]
 
-MAX_SHOWN = 60
-"""Characters of a wrong value that a message shows; the rest is cut."""
+MAX_SHOWN_CHARACTERS = 60
+"""Maximum length of an invalid value in a message; the rest is cut off."""
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _SHA256 = re.compile(r"[0-9a-fA-F]{64}")
@@ -28,14 +28,18 @@
 
 
 def shown(value: Any) -> str:
-    """Return a value for a message, on one line and cut to a bearable length."""
+    """Return a value as text for a message, on one line and cut to a maximum length."""
     if isinstance(value, (dict, list)):
         return "a table" if isinstance(value, dict) else "a list"
     if isinstance(value, int) and not isinstance(value, bool):
         # Python refuses to print integers of several thousand digits.
         return str(value) if value.bit_length() < 128 else "a huge number"
     text = repr(value) if isinstance(value, str) else str(value)
-    return text if len(text) <= MAX_SHOWN else text[: MAX_SHOWN - 1] + "…"
+    return (
+        text
+        if len(text) <= MAX_SHOWN_CHARACTERS
+        else text[: MAX_SHOWN_CHARACTERS - 1] + "…"
+    )
 
 
 def name(value: Any) -> str:
@@ -49,7 +53,7 @@
 
 
 def text(longest: int, *, empty: bool = False) -> Check:
-    """Return a check for printable text of a greatest length."""
+    """Return a check for printable text of at most `longest` characters."""
 
     def check(value: Any) -> str:
         if not isinstance(value, str):
@@ -66,14 +70,14 @@
 
 
 def flag(value: Any) -> bool:
-    """Return a truth value."""
+    """Return a boolean."""
     if isinstance(value, bool):
         return value
     raise ValueError(f"must be true or false; is {shown(value)}")
 
 
 def whole(low: int, high: int) -> Check:
-    """Return a check for a whole number in a range, both ends included."""
+    """Return a check for an integer from `low` to `high`, both included."""
 
     def check(value: Any) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
@@ -86,7 +90,7 @@
 
 
 def number(low: float, high: float) -> Check:
-    """Return a check for a finite number in a range, both ends included."""
+    """Return a check for a finite number from `low` to `high`, both included."""
 
     def check(value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, (int, float)):
@@ -99,19 +103,19 @@
 
 
 def choice(options: type[enum.StrEnum]) -> Check:
-    """Return a check for one of a few words."""
-    words = " or ".join(f'"{option.value}"' for option in options)
+    """Return a check for one of the values of an enumeration."""
+    allowed_values = " or ".join(f'"{option.value}"' for option in options)
 
     def check(value: Any) -> enum.StrEnum:
         if isinstance(value, str) and value in options._value2member_map_:
             return options(value)
-        raise ValueError(f"must be {words}; is {shown(value)}")
+        raise ValueError(f"must be {allowed_values}; is {shown(value)}")
 
     return check
 
 
 def list_of(check: Check, *, most: int) -> Check:
-    """Return a check for a list without duplicates."""
+    """Return a check for a list of at most `most` entries without duplicates."""
 
     def check_list(value: Any) -> tuple[Any, ...]:
         if not isinstance(value, list):
@@ -120,22 +124,22 @@
             raise ValueError(f"must have at most {most} entries; has {len(value)}")
         entries = tuple(check(entry) for entry in value)
         if len(set(entries)) != len(entries):
-            raise ValueError("names an entry twice")
+            raise ValueError("has an entry twice")
         return entries
 
     return check_list
 
 
 def sha256(value: Any) -> str:
-    """Return a SHA-256 in lower-case hexadecimal digits."""
+    """Return a SHA-256 as lower-case hexadecimal digits."""
     if isinstance(value, str) and _SHA256.fullmatch(value):
         return value.lower()
-    # The value isn't shown: operators paste the key itself here by mistake.
+    # The value isn't shown, as operators may paste the key itself by mistake.
     raise ValueError("must be a SHA-256 of 64 hexadecimal digits")
 
 
 def ip(value: Any) -> str:
-    """Return an IP number in its usual form."""
+    """Return an IP address in canonical form."""
     try:
         if isinstance(value, str):
             return str(ipaddress.ip_address(value))
@@ -145,7 +149,7 @@
 
 
 def address(value: Any) -> str:
-    """Return `host:port` with an IP number as its host."""
+    """Return an address as `host:port` with an IP address as the host."""
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
@@ -166,23 +170,23 @@
 def read_row(
     cls: type[T], row: Mapping[str, Any], checks: Mapping[str, Check], report: Report
 ) -> T | None:
-    """Return an attrs object from a raw row, or report each fault and return none."""
+    """Return an attrs object for a raw row, or report each problem and return None."""
     values: dict[str, Any] = {}
-    sound = True
+    valid = True
     for key, raw in row.items():
         check = checks.get(key)
         if check is None:
             report(key, "is no field here; known are " + ", ".join(checks))
-            sound = False
+            valid = False
             continue
         try:
             values[key] = check(raw)
         except ValueError as error:
             report(key, str(error))
-            sound = False
+            valid = False
     for attribute in fields(cls):  # type: ignore[arg-type,misc]
         required = attribute.default is NOTHING and attribute.name in checks
         if required and attribute.name not in row:
             report(attribute.name, "is missing")
-            sound = False
-    return cls(**values) if sound else None
+            valid = False
+    return cls(**values) if valid else None
--- a/packages/fulmarroad/src/fulmarroad/_placement.py
+++ b/packages/fulmarroad/src/fulmarroad/_placement.py
@@ -22,8 +22,8 @@
 
 LOAD_BOUND = 1.25
 """Multiple of the mean load up to which a server gets requests for its cached prefixes.
-At 1 affinity never counts; at 2 a popular prefix doubles the load of one server. The
-queueing delay of a load a quarter above the mean is hardly noticeable."""
+At 1 affinity never counts; at 2 a popular prefix doubles the load of one server. A load
+a quarter above the mean adds little to the usual queueing delay."""
 
 LOAD_SLACK = 0.1
 """Load that is allowed in addition to `LOAD_BOUND`, so that affinity also works in an
--- a/packages/fulmarroad/src/fulmarroad/_route_index.py
+++ b/packages/fulmarroad/src/fulmarroad/_route_index.py
@@ -1,4 +1,4 @@
-"""Lookups that every request makes: workspace by key, route by call."""
+"""Lookups made for every request: the workspace of a key, the route of a call."""
 
 from __future__ import annotations
 
@@ -8,36 +8,38 @@
 
 from fulmarroad._tables import Route, Tables, Workspace
 
-_PREFIX_BYTES = 8
-"""Bytes of a key's hash that pick a bucket; 16,000 keys make a clash unlikely."""
+_BUCKET_BYTES = 8
+"""Bytes of a key's hash that select a bucket. A collision is unlikely with 16,000
+keys."""
 
 
 _PathRoutes = dict[tuple[str, str], list[Route]]
-"""Routes of one path by model and workspace, so that a path which many workspaces share
-by routes of their own costs each call no more than one that has a single route."""
+"""Routes of one path by model and workspace. A path with a separate route for each of
+many workspaces thus costs no more per call than a path with a single route."""
 
 
 class RouteIndex:
-    """Answer the lookups of one version of the tables."""
+    """Index one version of the tables for lookups."""
 
     def __init__(self, tables: Tables) -> None:
         self._keys = _index_keys(tables.workspaces.values())
         self._exact: dict[str, _PathRoutes] = {}
         self._prefixes: dict[str, _PathRoutes] = {}
-        for route in sorted(tables.routes.values(), key=_rank):
+        for route in sorted(tables.routes.values(), key=_sort_key):
             self._add(route)
-        # Only lengths in use are tried, so a path of many slashes costs no more.
-        self._lengths = sorted({len(path) for path in self._prefixes}, reverse=True)
+        # Only lengths in use are tried, so a path with many slashes costs no more.
+        self._prefix_lengths = sorted(
+            {len(path) for path in self._prefixes}, reverse=True
+        )
 
     def workspace_for_key(self, bearer: str) -> Workspace | None:
-        """Return the workspace of a caller's key.
+        """Return the workspace of a caller's key, or None if the key is unknown.
 
-        The bucket is found by a part of the key's SHA-256, which tells a caller who
-        measures times nothing about another key; the rest is compared in constant
-        time.
+        A part of the key's SHA-256 selects the bucket, so response times reveal nothing
+        about other keys. The whole hash is compared in constant time.
         """
         digest = hashlib.sha256(bearer.encode("utf-8", "surrogatepass"))
-        bucket = int.from_bytes(digest.digest()[:_PREFIX_BYTES])
+        bucket = int.from_bytes(digest.digest()[:_BUCKET_BYTES])
         presented = digest.hexdigest()
         found: Workspace | None = None
         for known, workspace in self._keys.get(bucket, ()):
@@ -48,22 +50,24 @@
     def route_for(
         self, method: str, path: str, model: str, workspace: str
     ) -> Route | None:
-        """Return the route of a call, the most specific one first.
+        """Return the most specific route of a call, or None if no route matches.
 
-        An exact path goes before the longest prefix; for one path, a route for this
-        model goes before a general one, then one for named workspaces, then one for
-        named methods.
+        An exact path is preferred to a prefix, and a longer prefix to a shorter one.
+        For the same path, a route for this model is preferred to one for every model,
+        then one for this workspace, then one with a list of methods.
         """
-        found = _pick(self._exact.get(path), method, model, workspace)
+        found = _first_match(self._exact.get(path), method, model, workspace)
         if found is not None:
             return found
-        for length in self._lengths:
-            found = _pick(self._prefixed(path, length), method, model, workspace)
+        for length in self._prefix_lengths:
+            found = _first_match(
+                self._routes_under(path, length), method, model, workspace
+            )
             if found is not None:
                 return found
         return None
 
-    def _prefixed(self, path: str, length: int) -> _PathRoutes | None:
+    def _routes_under(self, path: str, length: int) -> _PathRoutes | None:
         whole_segment = len(path) == length or path[length : length + 1] == "/"
         if len(path) < length or not whole_segment:
             return None
@@ -84,16 +88,16 @@
     keys: dict[int, tuple[tuple[str, Workspace], ...]] = {}
     for workspace in workspaces:
         for key in workspace.key_sha256:
-            bucket = int(key[: 2 * _PREFIX_BYTES], 16)
+            bucket = int(key[: 2 * _BUCKET_BYTES], 16)
             keys[bucket] = (*keys.get(bucket, ()), (key, workspace))
     return keys
 
 
-def _rank(route: Route) -> tuple[bool, str]:
+def _sort_key(route: Route) -> tuple[bool, str]:
     return (not route.methods, route.name)
 
 
-def _pick(
+def _first_match(
     routes: _PathRoutes | None, method: str, model: str, workspace: str
 ) -> Route | None:
     if routes is None:
--- a/packages/fulmarroad/src/fulmarroad/_table_diff.py
+++ b/packages/fulmarroad/src/fulmarroad/_table_diff.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of the tables, row by row and field by field."""
+"""Differences between two versions of the tables, per row and field."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from fulmarroad.types import DataCentreName
 
 ABSENT = ""
-"""Stands for a row that is not there; no field has it as its whole value."""
+"""Value of `before` or `after` for a row that doesn't exist; no existing row or field
+is shown as an empty text."""
 
-SHOWN_HASH = 8
-"""Digits of a key's hash that tell two keys apart for a reader."""
+SHOWN_HASH_DIGITS = 8
+"""Digits of a key's hash that are shown, enough to tell two keys apart."""
 
 
 @frozen
 class TableChange:
-    """Say what changed in one row; `field` is empty where a row came or went."""
+    """Describe a change in one row; `field` is empty for an added or removed row."""
 
     kind: str  # workspace, route, data_centre, pool or server
     name: str
@@ -36,7 +37,7 @@
 
 
 def diff_tables(before: Tables | None, after: Tables) -> tuple[TableChange, ...]:
-    """Return what differs, data centres and servers first."""
+    """Return the differences by row kind, data centres and servers first."""
     old = before if before is not None else Tables(0)
     return (
         *_diff_rows("data_centre", old.data_centres, after.data_centres),
@@ -48,7 +49,7 @@
 
 
 def servers_leaving(before: Tables, after: Tables) -> dict[DataCentreName, int]:
-    """Return how many backend servers of each data centre would take no more work."""
+    """Return the number of backend servers per data centre that would leave service."""
     leaving: dict[DataCentreName, int] = {}
     kept = _servers(after)
     for name, server in _servers(before).items():
@@ -86,7 +87,7 @@
 def _diff_row(kind: str, name: str, old: Any, new: Any) -> Iterator[TableChange]:
     for attribute in fields(type(old)):
         field = attribute.name
-        # Servers are rows of their own here.
+        # Servers are compared as separate rows.
         if (kind, field) == ("pool", "servers"):
             continue
         was, now = getattr(old, field), getattr(new, field)
@@ -96,7 +97,9 @@
 
 def _shown(field: str, value: Any) -> str:
     if isinstance(value, tuple):
-        entries = [v[:SHOWN_HASH] if field == "key_sha256" else str(v) for v in value]
+        entries = [
+            v[:SHOWN_HASH_DIGITS] if field == "key_sha256" else str(v) for v in value
+        ]
         return ", ".join(entries) or "none"
     if isinstance(value, bool):
         return str(value).lower()
--- a/packages/fulmarroad/src/fulmarroad/_table_rows.py
+++ b/packages/fulmarroad/src/fulmarroad/_table_rows.py
@@ -1,7 +1,7 @@
-"""Rows of one part of a table: types, ranges and unknown fields.
+"""Parsing and checks of the rows in one part of a table: types, ranges, unknown fields.
 
-What a part holds depends on its bytes alone, so its rows can be kept by the part's
-SHA-256 and a change costs only the parsing of the parts that changed.
+The rows of a part depend on its bytes alone. They can therefore be cached by the
+SHA-256 of the part, and a new version costs only the parsing of the changed parts.
 """
 
 from __future__ import annotations
@@ -29,19 +29,24 @@
 T = TypeVar("T")
 
 MAX_KEYS = 64
-"""Keys of one workspace; rotation needs two, a few tools of its own some more."""
+"""Maximum number of keys of a workspace: rotation needs two, and separate keys for a
+few tools some more."""
 
 MAX_ROUTE_WORKSPACES = 1024
-"""Workspaces that one route may name; a longer list belongs into no list at all."""
+"""Maximum number of workspaces that a route may list. A route for more workspaces
+should have no list."""
 
 MAX_SERVERS = 10_000
-"""Backend servers of one pool, five times what the whole fleet expects."""
+"""Maximum number of backend servers in a pool: five times those expected in the
+fleet."""
 
 WEIGHT_RANGE = (0.001, 1000.0)
-"""A weight far outside would make the fairness bound, cost over weight, useless."""
+"""Range of a weight. A weight far outside it would make the fairness bound, cost
+divided by weight, meaningless."""
 
-LONGEST_S = 86_400.0
-"""No call lasts above a day; a larger number is a slip of units."""
+MAX_DURATION_S = 86_400.0
+"""Maximum duration in the tables. No call takes more than a day; a larger number is a
+mistake in the unit."""
 
 _PATH = re.compile(r"/[!-~]*")
 _METHOD = re.compile(r"[A-Z]{1,32}")
@@ -60,10 +65,12 @@
 def _method(value: Any) -> str:
     if isinstance(value, str) and _METHOD.fullmatch(value):
         return value
-    raise ValueError(f"must be a method in capitals; is {checks.shown(value)}")
+    raise ValueError(
+        f"must be an HTTP method in capital letters; is {checks.shown(value)}"
+    )
 
 
-_duration = checks.number(0.001, LONGEST_S)
+_duration = checks.number(0.001, MAX_DURATION_S)
 _limit = checks.whole(1, 1_000_000)
 
 WORKSPACE_CHECKS: dict[str, checks.Check] = {
@@ -83,7 +90,7 @@
     "workspaces": checks.list_of(checks.name, most=MAX_ROUTE_WORKSPACES),
     "repeatable": checks.flag,
     "timeout_s": _duration,
-    "max_wait_s": checks.number(0.0, LONGEST_S),
+    "max_wait_s": checks.number(0.0, MAX_DURATION_S),
     "max_body_bytes": checks.whole(0, 2**30),
 }
 DATA_CENTRE_CHECKS: dict[str, checks.Check] = {
@@ -116,10 +123,10 @@
 
 @frozen
 class PartRows:
-    """Hold the sound rows of one part and the faults of the others.
+    """Hold the valid rows of one part and the problems of the others.
 
-    `declared` has every row's kind and name, of broken rows too, so that a row which
-    names a broken one isn't reported for naming nothing.
+    `declared` has the kind and name of every row, including invalid ones, so that a
+    reference to an invalid row isn't also reported as unknown.
     """
 
     workspaces: tuple[Workspace, ...] = ()
@@ -131,7 +138,7 @@
 
 
 def read_part(table: TableName, content: bytes) -> PartRows:
-    """Return the rows of a part, with the faults found in it."""
+    """Return the rows of a part and the problems found in it."""
     try:
         document = load_toml(content, "The part")
     except ConfigurationError as error:
@@ -143,7 +150,7 @@
 
 
 class _PartReader:
-    """Read one part's rows and gather what is wrong with them."""
+    """Read the rows of one part and collect their problems."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self._document = document
@@ -152,9 +159,11 @@
 
     def routes(self) -> PartRows:
         """Return the rows of a part of the routes table."""
-        self._refuse_unknown("workspace", "route")
-        workspaces = self._rows("workspace", self._simple(Workspace, WORKSPACE_CHECKS))
-        routes = self._rows("route", self._simple(Route, ROUTE_CHECKS))
+        self._report_unknown_keys("workspace", "route")
+        workspaces = self._rows(
+            "workspace", self._row_reader(Workspace, WORKSPACE_CHECKS)
+        )
+        routes = self._rows("route", self._row_reader(Route, ROUTE_CHECKS))
         return PartRows(
             workspaces=workspaces,
             routes=routes,
@@ -164,9 +173,9 @@
 
     def pools(self) -> PartRows:
         """Return the rows of a part of the pools table."""
-        self._refuse_unknown("data_centre", "pool")
+        self._report_unknown_keys("data_centre", "pool")
         centres = self._rows(
-            "data_centre", self._simple(DataCentre, DATA_CENTRE_CHECKS)
+            "data_centre", self._row_reader(DataCentre, DATA_CENTRE_CHECKS)
         )
         pools = self._rows("pool", self._pool)
         return PartRows(
@@ -176,7 +185,7 @@
             problems=tuple(self._problems),
         )
 
-    def _refuse_unknown(self, *known: str) -> None:
+    def _report_unknown_keys(self, *known: str) -> None:
         for key in self._document:
             if key not in known:
                 words = " or ".join(f"[[{kind}]]" for kind in known)
@@ -206,12 +215,12 @@
         self._declared.append((kind, name))
         return f"{kind} {checks.shown(name)}"
 
-    def _simple(
+    def _row_reader(
         self, cls: type[T], row_checks: dict[str, checks.Check]
     ) -> Callable[[str, dict[str, Any]], T | None]:
-        return lambda label, row: self._read(cls, label, row, row_checks)
+        return lambda label, row: self._read_row(cls, label, row, row_checks)
 
-    def _read(
+    def _read_row(
         self,
         cls: type[T],
         label: str,
@@ -227,9 +236,9 @@
         plain = {key: value for key, value in row.items() if key != "server"}
         servers = self._servers(label, row.get("server", []))
         if plain.get("kind") == PoolKind.PLAIN:
-            # A plain service answers no tokens, so its calls are what is counted.
+            # A plain service generates no tokens, so its cost is counted in calls.
             plain.setdefault("cost", CostUnit.CALLS.value)
-        pool = self._read(Pool, label, plain, POOL_CHECKS)
+        pool = self._read_row(Pool, label, plain, POOL_CHECKS)
         if pool is None:
             return None
         self._check_pool(label, pool)
@@ -242,7 +251,9 @@
             )
             return ()
         if len(rows) > MAX_SERVERS:
-            self._problems.append(f"{label}: server: must be at most {MAX_SERVERS}")
+            self._problems.append(
+                f"{label}: server: must have at most {MAX_SERVERS} rows"
+            )
             return ()
         servers: list[BackendServer] = []
         for index, row in enumerate(rows, 1):
@@ -250,7 +261,7 @@
                 self._problems.append(f"{label} server {index}: must be a table")
                 continue
             row_label = f"{label} {self._label('server', index, row)}"
-            server = self._read(BackendServer, row_label, row, SERVER_CHECKS)
+            server = self._read_row(BackendServer, row_label, row, SERVER_CHECKS)
             if server is not None:
                 servers.append(server)
         return tuple(servers)
--- a/packages/fulmarroad/src/fulmarroad/_tables.py
+++ b/packages/fulmarroad/src/fulmarroad/_tables.py
@@ -1,4 +1,4 @@
-"""The two tables that operators keep: routes and pools, joined by names."""
+"""The routes and pools tables that operators maintain, linked by names."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 class ServiceState(enum.StrEnum):
-    """Say whether operators have a data centre or backend server in service."""
+    """Describe whether operators have a data centre or backend server in service."""
 
     IN = "in"
     OUT = "out"
 
 
 class PoolKind(enum.StrEnum):
-    """Say what the backend servers of a pool are."""
+    """Describe what the backend servers of a pool run."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class CostUnit(enum.StrEnum):
-    """Say what one unit of service is, as fairness counts it."""
+    """List the units in which fairness measures the cost of a request."""
 
     TOKENS = "tokens"
     CALLS = "calls"
@@ -39,7 +39,7 @@
 
 @frozen
 class Workspace:
-    """One workspace: its share of capacity, its keys and its limits."""
+    """Describe a workspace: its weight, its keys and its limits."""
 
     name: WorkspaceName
     weight: float = 1.0
@@ -50,7 +50,7 @@
 
 @frozen
 class Route:
-    """One route: which calls go to which pool, and how they may be handled."""
+    """Describe a route: the calls that match it, their pool and their limits."""
 
     name: str
     path: str
@@ -67,22 +67,22 @@
 
 @frozen
 class BackendServer:
-    """One backend server of a pool."""
+    """Describe a backend server of a pool."""
 
     name: ServerName
-    address: str  # host:port, the host an IP number
+    address: str  # host:port, where the host is an IP address
     data_centre: DataCentreName
     state: ServiceState = ServiceState.IN
 
 
 @frozen
 class Pool:
-    """One pool: backend servers that can stand in for each other."""
+    """Describe a pool of interchangeable backend servers."""
 
     name: PoolName
     kind: PoolKind = PoolKind.MODEL
     cost: CostUnit = CostUnit.TOKENS
-    prompt_cost: float = 0.25  # units for one prompt token
+    prompt_cost: float = 0.25  # cost units per prompt token
     can_resume: bool = False
     checks_fence: bool = False
     max_concurrency: int = 32
@@ -98,7 +98,7 @@
 
 @frozen
 class DataCentre:
-    """One data centre and whether operators have it in service."""
+    """Describe a data centre and whether operators have it in service."""
 
     name: DataCentreName
     state: ServiceState = ServiceState.IN
@@ -106,7 +106,7 @@
 
 @frozen
 class Tables:
-    """Both tables of one version, checked whole."""
+    """Hold one version of both tables after all checks."""
 
     version: int
     workspaces: dict[WorkspaceName, Workspace] = field(factory=dict)
@@ -115,20 +115,20 @@
     data_centres: dict[DataCentreName, DataCentre] = field(factory=dict)
 
     def in_service(self, data_centre: DataCentreName) -> bool:
-        """Tell whether a data centre takes new work."""
+        """Return whether a data centre may get new work; an unknown one may not."""
         row = self.data_centres.get(data_centre)
         return row is not None and row.state is ServiceState.IN
 
     def server_takes_work(self, server: BackendServer) -> bool:
-        """Tell whether a backend server takes new work."""
+        """Return whether a backend server and its data centre are both in service."""
         return server.state is ServiceState.IN and self.in_service(server.data_centre)
 
 
 def shards_of(pool: Pool) -> dict[ShardId, tuple[BackendServer, ...]]:
-    """Split a pool into shards, the same way on every router.
+    """Split a pool into shards, identically on every router.
 
-    Servers out of service stay in their shard, so that taking one out moves no
-    other server to a new scheduler.
+    Servers out of service remain in their shard, so that taking one out of service
+    moves no other server to another scheduler.
     """
     by_centre: dict[DataCentreName, list[BackendServer]] = {}
     for server in sorted(pool.servers, key=lambda server: server.name):
--- a/packages/fulmarroad/src/fulmarroad/_tables_check.py
+++ b/packages/fulmarroad/src/fulmarroad/_tables_check.py
@@ -1,4 +1,4 @@
-"""Checks of both tables together: names that join, duplicates, ambiguous routes."""
+"""Checks across both tables: references between rows, duplicates, ambiguous routes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fulmarroad._tables import Pool, Route, Tables, Workspace
 from fulmarroad.exceptions import ConfigurationError
 
-_HINT = "Correct the tables and publish a higher version; the last good ones stay."
+_HINT = "Correct the tables and publish a higher version; the last valid ones stay."
 
 
 @frozen
 class ReadPart:
-    """Hold a part of the manifest with its rows."""
+    """Hold a part of the manifest and its rows."""
 
     part: ManifestPart
     rows: PartRows
@@ -26,11 +26,15 @@
 def parse_tables(
     version: int, parts: Mapping[str, bytes], manifest: Manifest
 ) -> Tables:
-    """Return the tables that a manifest's parts make up; `parts` is by SHA-256.
+    """Return the tables made up of a manifest's parts; `parts` maps SHA-256 to content.
 
     Raise `ConfigurationError` with every problem, each naming table, row and field.
     """
-    problems = [] if version == manifest.version else ["manifest: version: is another"]
+    problems = (
+        []
+        if version == manifest.version
+        else ["manifest: version: does not match the tables"]
+    )
     read: list[ReadPart] = []
     for part in manifest.parts:
         content = parts.get(part.sha256)
@@ -45,7 +49,7 @@
 
 
 def parse_texts(version: int, routes: bytes, pools: bytes) -> Tables:
-    """Return the tables of two whole TOML texts, for files that aren't published.
+    """Return the tables of two complete TOML texts, for files that aren't published.
 
     Raise `ConfigurationError` with every problem, each naming table, row and field.
     """
@@ -57,7 +61,7 @@
 
 
 def join_tables(version: int, read: Sequence[ReadPart]) -> Tables:
-    """Return the tables that rows of all parts make up.
+    """Return the tables made up of the rows of all parts.
 
     Raise `ConfigurationError` with every problem, each naming table, row and field.
     """
@@ -67,7 +71,7 @@
         for problem in part.rows.problems
     ]
     rows = [part.rows for part in read]
-    names = _declared(rows)
+    names = _declared_names(rows)
     problems += _duplicate_names(rows)
     routes = [route for part in rows for route in part.routes]
     pools = [pool for part in rows for pool in part.pools]
@@ -96,7 +100,7 @@
     )
 
 
-def _declared(rows: Iterable[PartRows]) -> dict[str, set[str]]:
+def _declared_names(rows: Iterable[PartRows]) -> dict[str, set[str]]:
     names: dict[str, set[str]] = {}
     for part in rows:
         for kind, name in part.declared:
@@ -104,7 +108,7 @@
     return names
 
 
-_TABLE_OF = {"workspace": TableName.ROUTES, "route": TableName.ROUTES}
+_TABLE_BY_KIND = {"workspace": TableName.ROUTES, "route": TableName.ROUTES}
 
 
 def _duplicate_names(rows: Iterable[PartRows]) -> Iterator[str]:
@@ -112,13 +116,13 @@
     for part in rows:
         for kind, name in part.declared:
             if (kind, name) in seen:
-                table = _TABLE_OF.get(kind, TableName.POOLS)
+                table = _TABLE_BY_KIND.get(kind, TableName.POOLS)
                 yield f"{table}: {kind} {name!r}: name: is used twice"
             seen.add((kind, name))
 
 
 def _duplicate_keys(workspaces: Iterable[Workspace]) -> Iterator[str]:
-    # A key of two workspaces would charge one for what the other asked.
+    # With a shared key, one workspace would be charged for requests of the other.
     owner: dict[str, str] = {}
     for workspace in workspaces:
         for key in workspace.key_sha256:
@@ -143,20 +147,22 @@
 
 
 def _ambiguous_routes(routes: Iterable[Route]) -> Iterator[str]:
-    # Each call that a route names is looked up, not each other route: with thousands
-    # of routes on one path the comparison of pairs would hold every router up.
+    # Comparing every pair of routes would block the router with thousands of routes
+    # on one path, so each call that a route matches is looked up instead.
     owner: dict[tuple[Any, ...], str] = {}
     for route in routes:
-        rivals = {owner.setdefault(call, route.name) for call in _calls_of(route)}
-        rivals.discard(route.name)
-        if rivals:
+        conflicting = {
+            owner.setdefault(call, route.name) for call in _matched_calls(route)
+        }
+        conflicting.discard(route.name)
+        if conflicting:
             yield (
-                f"routes: route {route.name!r}: path: takes the same calls as "
-                f"route {min(rivals)!r}"
+                f"routes: route {route.name!r}: path: matches the same calls as "
+                f"route {min(conflicting)!r}"
             )
 
 
-def _calls_of(route: Route) -> Iterator[tuple[Any, ...]]:
+def _matched_calls(route: Route) -> Iterator[tuple[Any, ...]]:
     path = (route.path.rstrip("/") or "/") if route.path_prefix else route.path
     for workspace in route.workspaces or ("",):
         for method in route.methods or ("",):
@@ -176,7 +182,7 @@
 
 
 def _duplicate_addresses(pools: Iterable[Pool]) -> Iterator[str]:
-    # Two rows of one backend server would give it twice the work that it bears.
+    # A backend server with two rows would get twice the work that it can handle.
     owner: dict[str, str] = {}
     for pool in pools:
         for server in pool.servers:
--- a/packages/fulmarroad/src/fulmarroad/audit.py
+++ b/packages/fulmarroad/src/fulmarroad/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: every change of table, membership, role, warmth and state."""
+"""Audit trail of changes to tables, membership, roles, warmth and states."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from attrs import asdict, frozen
 
 TRAIL_LENGTH = 4096
-"""Records kept in memory; VMs have no disks, so the log stream is the archive."""
+"""Maximum number of records kept in memory. VMs have no disks, so older records are
+only in the log stream."""
 
 
 class Subject(enum.StrEnum):
-    """Say what kind of thing changed."""
+    """List the kinds of things whose changes are recorded."""
 
     TABLES = "tables"
     MEMBER = "member"
@@ -27,7 +28,7 @@
 
 @frozen
 class AuditRecord:
-    """Say what changed, from what to what, and who or what caused it."""
+    """Describe a change: its subject, old and new values, and who or what caused it."""
 
     sequence: int
     at: float  # seconds since 1970
@@ -39,12 +40,12 @@
     version: int = 0
 
     def as_dict(self) -> dict[str, object]:
-        """Return the record for a log line or the admin port."""
+        """Return the record as a dictionary, for a log line or the admin port."""
         return asdict(self)
 
 
 class AuditTrail:
-    """Keep the newest records and pass each one to a sink."""
+    """Keep the newest records and pass each new one to a sink."""
 
     def __init__(
         self,
@@ -76,5 +77,5 @@
         return row
 
     def since(self, sequence: int) -> list[AuditRecord]:
-        """Return the records kept that came after a sequence number."""
+        """Return the kept records with a sequence number above `sequence`."""
         return [row for row in self._records if row.sequence > sequence]
--- a/packages/fulmarroad/src/fulmarroad/checks.py
+++ b/packages/fulmarroad/src/fulmarroad/checks.py
@@ -1,4 +1,4 @@
-"""Checks of values and rows from TOML, for tables and settings."""
+"""Checks of values and rows from TOML, shared by tables and settings."""
 
 from fulmarroad._checks import (
     Check,
--- a/packages/fulmarroad/src/fulmarroad/tables.py
+++ b/packages/fulmarroad/src/fulmarroad/tables.py
@@ -1,4 +1,4 @@
-"""The tables of routes and pools: their model, checks, manifest and acceptance."""
+"""The routes and pools tables: model, checks, manifest, acceptance and lookups."""
 
 from fulmarroad._acceptance import (
     Acceptance,
--- a/packages/fulmarroad/src/fulmarroad/types.py
+++ b/packages/fulmarroad/src/fulmarroad/types.py
@@ -1,4 +1,4 @@
-"""Names and small values that every part of the library shares."""
+"""Names and small value types used by all parts of the library."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @frozen(order=True)
 class ShardId:
-    """Name a shard: some backend servers of one pool in one data centre."""
+    """Identify a shard: a group of backend servers of one pool in one data centre."""
 
     pool: PoolName
     data_centre: DataCentreName
@@ -27,10 +27,10 @@
 
 @frozen(order=True)
 class Epoch:
-    """Tell one holder of a scheduler's role from every other one.
+    """Identify one period in which a router holds a scheduler's role.
 
-    `incarnation` is the router's, so a restarted router never repeats an epoch;
-    `term` counts the times that this incarnation took the role up.
+    `incarnation` is that of the router, so that a restarted router never repeats an
+    epoch. `term` counts how often this incarnation has taken the role.
     """
 
     router: RouterName
@@ -40,14 +40,14 @@
 
 @frozen(order=True)
 class Unit:
-    """Name one unit of a backend server's concurrency: one running request."""
+    """Identify one unit of a backend server's concurrency: one running request."""
 
     server: ServerName
     index: int
 
 
 class Warmth(enum.StrEnum):
-    """Say how far a backend server has come out of its cold start."""
+    """Describe how far a backend server has progressed from its cold start."""
 
     COLD = "cold"
     WARMING = "warming"
@@ -56,7 +56,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """Say how a lease ended, as the router that held it saw it."""
+    """Describe how a lease ended, as seen by the router that held it."""
 
     COMPLETED = "completed"
     CANCELLED = "cancelled"
@@ -67,7 +67,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Tell a caller whether its request reached a backend server."""
+    """Describe whether a request reached a backend server, for its caller."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -75,7 +75,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Say why a request was turned away without being run."""
+    """List the reasons for refusing a request without running it."""
 
     QUEUE_FULL = "queue_full"
     WORKSPACE_QUEUE_FULL = "workspace_queue_full"
@@ -94,7 +94,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """Say what the membership believes of a VM."""
+    """Describe the state of a VM as the membership protocol sees it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
--- a/packages/fulmarroad/tests/test_hostile_tables.py
+++ b/packages/fulmarroad/tests/test_hostile_tables.py
@@ -1,4 +1,4 @@
-"""Hostile and damaged tables: a clear error or good tables, and nothing else."""
+"""Fuzz tests: hostile or corrupted tables give valid tables or a clear error."""
 
 from __future__ import annotations
 
@@ -46,23 +46,24 @@
 
 
 def rows_of(checks):
-    """Return rows with some of the known fields, and sometimes an unknown one."""
+    """Return a strategy for rows with some known and sometimes an unknown field."""
     names = st.sampled_from([*checks, "server", "unknown"])
     return st.lists(st.dictionaries(names, VALUES, max_size=6), max_size=3)
 
 
 def outcome(parse, *arguments):
-    """Return what parsing gave, or the text of its refusal."""
+    """Return the parsed value, or the text of the `ConfigurationError`."""
     try:
         return parse(*arguments)
     except ConfigurationError as error:
         return error.show()
 
 
-class TestHostileValues:
+class TestHostileInput:
     """
-    A table is written by a script with a fault, or a service gives something else
-    altogether. A router that ended on it would end on every VM in the same second.
+    A faulty script writes the tables, or a service returns unrelated data. If parsing
+    raised any other exception than `ConfigurationError`, the routers on every VM would
+    crash in the same second.
     """
 
     @BOUNDED
@@ -73,7 +74,7 @@
         rows_of(POOL_CHECKS),
         rows_of(SERVER_CHECKS),
     )
-    def test_any_rows_give_tables_or_an_error(
+    def test_random_rows_give_tables_or_an_error(
         self, workspaces, routes, centres, pools, servers
     ):
         for pool in pools:
@@ -88,7 +89,7 @@
     @example(b"version = 1" + b"0" * 5000)
     @example(b"a = " + b"[" * 100_000)
     @example(b"a.b.c.d = {" * 2000)
-    def test_any_bytes_give_a_value_or_an_error(self, raw):
+    def test_random_bytes_give_a_value_or_an_error(self, raw):
         assert outcome(parse_texts, 1, raw, raw)
         assert outcome(parse_manifest, raw)
         assert outcome(parse_vm_list, raw)
@@ -107,13 +108,13 @@
             max_size=3,
         ),
     )
-    def test_any_manifest_gives_a_value_or_an_error(self, version, rows):
+    def test_random_manifest_gives_a_value_or_an_error(self, version, rows):
         for name, parse in (("part", parse_manifest), ("vm", parse_vm_list)):
             raw = tomli_w.dumps({"version": version, name: rows}).encode()
             assert outcome(parse, raw)
 
 
-class TestCompleteChecks:
+class TestFieldChecks:
     @pytest.mark.parametrize(
         ("cls", "checks"),
         [
@@ -130,8 +131,9 @@
 
 class TestManyRoutes:
     """
-    A script gives each workspace a route of its own on one path. Were routes compared
-    in pairs, every router would stand still at the change and slow down at each call.
+    A script creates a separate route for each workspace on one path. If routes were
+    compared in pairs, every router would block while it checks the tables, and each
+    lookup would be slow.
     """
 
     COUNT = 3000
@@ -145,12 +147,12 @@
         ]
         return tomli_w.dumps({"workspace": workspaces, "route": routes}).encode()
 
-    def test_each_workspace_gets_its_own(self):
+    def test_lookup_returns_the_route_of_the_workspace(self):
         index = RouteIndex(parse_texts(1, self.text(), b'[[pool]]\nname = "p"\n'))
         assert index.route_for("GET", "/a", "", "w2999").name == "w2999"
         assert index.route_for("GET", "/a", "", "other") is None
 
-    def test_a_lookup_tries_few_routes(self):
+    def test_lookup_compares_one_route_per_index_entry(self):
         index = RouteIndex(parse_texts(1, self.text(), b'[[pool]]\nname = "p"\n'))
-        tried = [len(rows) for rows in index._exact["/a"].values()]
-        assert max(tried) == 1
+        candidates_per_lookup = [len(rows) for rows in index._exact["/a"].values()]
+        assert max(candidates_per_lookup) == 1
--- a/packages/fulmarroad/tests/test_operators_pages.py
+++ b/packages/fulmarroad/tests/test_operators_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages: each alarm and each field of the tables is on them."""
+"""The operators' pages must describe each alarm and each field of the tables."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 }
 
 
-def field_rows():
-    """Return the default that the page gives for each field."""
+def documented_defaults():
+    """Return the default of each field as the page states it."""
     page = (DOCS / "TABLES.md").read_text()
     pattern = r"^\| `(\w+)\.(\w+)` \| [^|]* \| ([^|]*) \|"
     found = re.findall(pattern, page, re.MULTILINE)
@@ -30,7 +30,7 @@
 
 
 class TestAlarms:
-    def test_page_tells_what_to_do_for_each_event_above_info(self):
+    def test_page_lists_each_event_above_info(self):
         page = (DOCS / "OPERATING.md").read_text()
         rows = re.findall(r"^\| (\d+) ([A-Z_]+) \|", page, re.MULTILINE)
         alarms = [
@@ -49,14 +49,14 @@
             for attribute in fields(cls)
             if attribute.name != "servers"
         }
-        assert set(field_rows()) == expected
+        assert set(documented_defaults()) == expected
 
-    def test_gives_the_defaults_in_force(self):
-        for (kind, name), shown in field_rows().items():
+    def test_states_the_actual_defaults(self):
+        for (kind, name), documented in documented_defaults().items():
             default = getattr(fields(ROWS[kind]), name).default
             if default is NOTHING:
-                assert shown == "required"
+                assert documented == "required"
             elif isinstance(default, bool):
-                assert shown == str(default).lower()
+                assert documented == str(default).lower()
             elif isinstance(default, (int, float)):
-                assert float(shown) == default
+                assert float(documented) == default
--- a/packages/fulmarroad/tests/test_tables.py
+++ b/packages/fulmarroad/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Tests of parsing, checks, lookups and acceptance of tables."""
+"""Tests of parsing, checks, lookups and acceptance of the tables."""
 
 from __future__ import annotations
 
@@ -86,14 +86,14 @@
 
 
 class TestParsing:
-    def test_reads_every_row(self):
+    def test_parses_every_row(self):
         tables = parse()
         assert tables.workspaces["atlas"].weight == 2.0
         assert tables.pools["drafting"].servers[1].address == "[::1]:8000"
         assert tables.data_centres["south"].state is ServiceState.OUT
         assert not tables.server_takes_work(tables.pools["drafting"].servers[1])
 
-    def test_a_plain_pool_counts_calls(self):
+    def test_cost_of_a_plain_pool_defaults_to_calls(self):
         tables = parse(pools=POOLS + '[[pool]]\nname = "ledger"\nkind = "plain"\n')
         assert tables.pools["ledger"].cost is CostUnit.CALLS
 
@@ -120,11 +120,13 @@
                 'pool = "drafting"',
                 'pool = "drafting"\n[[route]]\nname = "b"\npool = "drafting"\n'
                 'path = "/v1/chat/completions"',
-                "route 'b': path: takes the same calls as route 'chat'",
+                "route 'b': path: matches the same calls as route 'chat'",
             ),
         ],
     )
-    def test_names_table_row_and_field_of_a_wrong_route_row(self, old, new, expected):
+    def test_problem_names_table_row_and_field_in_the_routes_table(
+        self, old, new, expected
+    ):
         found = problems(routes=ROUTES.replace(old, new))
         assert len(found) == 1
         assert found[0].startswith("routes")
@@ -151,19 +153,21 @@
             ("[[pool]]", "[[pol]]\n[[pool]]", "pol: is unknown here"),
         ],
     )
-    def test_names_table_row_and_field_of_a_wrong_pool_row(self, old, new, expected):
+    def test_problem_names_table_row_and_field_in_the_pools_table(
+        self, old, new, expected
+    ):
         found = problems(pools=POOLS.replace(old, new))
         assert all(problem.startswith("pools") for problem in found)
         assert expected in found[0]
 
-    def test_gathers_the_problems_of_both_tables(self):
+    def test_reports_the_problems_of_both_tables(self):
         found = problems(
             ROUTES.replace("weight = 2", "weight = -1"),
             POOLS.replace("10.0.0.1", "engine"),
         )
         assert len(found) == 2
 
-    def test_a_broken_row_is_not_reported_again_where_it_is_named(self):
+    def test_reference_to_an_invalid_row_is_not_reported(self):
         assert len(problems(pools=POOLS + "can_resume = 3\n")) == 1
         broken = POOLS.replace('name = "drafting"', 'name = "drafting"\ncost = 3')
         assert len(problems(pools=broken)) == 1
@@ -171,27 +175,27 @@
     @pytest.mark.parametrize(
         "text", ["a = ", "a = " + "[" * 5000, "workspace = 3", '"\x00"', "a = 1" * 2]
     )
-    def test_a_text_that_is_no_table_is_one_problem(self, text):
+    def test_reports_a_text_that_is_no_valid_table(self, text):
         assert len(problems(routes=text)) >= 1
 
     @pytest.mark.parametrize(
-        ("damage", "expected"),
+        ("corrupt", "expected"),
         [
             (lambda raw: raw + b" ", "has"),
             (lambda raw: raw.replace(b"rif", b"fir"), "has another SHA-256"),
         ],
     )
-    def test_a_damaged_part_is_named(self, damage, expected):
+    def test_problem_names_a_corrupted_part(self, corrupt, expected):
         manifest, parts = publish(1)
-        damaged = {key: damage(raw) for key, raw in parts.items()}
+        corrupted = {key: corrupt(raw) for key, raw in parts.items()}
         with pytest.raises(ConfigurationError) as caught:
-            parse_tables(1, damaged, manifest)
+            parse_tables(1, corrupted, manifest)
         assert f"routes (part routes-1): {expected}" in caught.value.problems[0]
         assert parse_tables(1, parts, manifest) == parse()
 
 
 class TestManifest:
-    def test_reads_what_it_wrote(self):
+    def test_parses_its_own_output(self):
         manifest, _ = publish(7)
         assert parse_manifest(manifest.raw) == manifest
 
@@ -210,7 +214,7 @@
             ("version = 7", "version = 7\nextra = 1", "extra: is no field"),
         ],
     )
-    def test_refuses_a_wrong_one(self, old, new, expected):
+    def test_rejects_an_invalid_manifest(self, old, new, expected):
         raw = publish(7)[0].raw.decode().replace(old, new)
         with pytest.raises(ConfigurationError) as caught:
             parse_manifest(raw.encode())
@@ -241,7 +245,7 @@
             (("GET", "", "", "atlas"), "all"),
         ],
     )
-    def test_takes_the_most_specific_route(self, call, expected):
+    def test_returns_the_most_specific_route(self, call, expected):
         route = RouteIndex(parse(self.ROUTES)).route_for(*call)
         assert (route.name if route else None) == expected
 
@@ -249,17 +253,17 @@
         ("key", "expected"),
         [("atlas-key", "atlas"), ("rif-key", "rif"), ("", None), ("\ud800", None)],
     )
-    def test_finds_the_workspace_of_a_key(self, key, expected):
+    def test_returns_the_workspace_of_a_key(self, key, expected):
         workspace = RouteIndex(parse()).workspace_for_key(key)
         assert (workspace.name if workspace else None) == expected
 
 
 class TestTableStore:
-    def test_takes_a_higher_version_only(self):
+    def test_accepts_only_a_higher_version(self):
         """
-        A stale copy of the configuration service answers with an old version, and a
-        peer that was cut off offers another. Were either taken, a data centre that
-        operators took out would get work again.
+        An outdated copy of the configuration service answers with an old version, and a
+        peer that was disconnected offers another one. If either were accepted, a data
+        centre that operators took out of service would get work again.
         """
         store = TableStore()
         assert store.offer(*publish(2), "service").accepted
@@ -268,7 +272,7 @@
         assert store.version == 2
         assert store.offer(*publish(3), "peer b").accepted
 
-    def test_an_accepted_offer_tells_what_changed(self):
+    def test_acceptance_lists_the_changes(self):
         store = TableStore()
         assert store.offer(*publish(1), "service").changes == ()
         new = ROUTES.replace("weight = 2", "weight = 3").replace('"rif"', '"souss"')
@@ -280,10 +284,11 @@
         ]
         assert store.index.workspace_for_key("rif-key").name == "souss"
 
-    def test_refuses_other_content_under_the_same_version(self):
+    def test_rejects_different_content_with_the_same_version(self):
         """
-        Operators publish version 2 twice with different content. Routers that took
-        the first would differ for ever from those that took the second, unseen.
+        Operators publish version 2 twice with different content. Without a conflict,
+        routers that accepted the first would keep different tables from those that
+        accepted the second, and nobody would notice.
         """
         store = TableStore()
         store.offer(*publish(2), "service")
@@ -293,10 +298,10 @@
         assert store.in_force is before
         assert store.offer(*publish(2), "peer b").verdict is Verdict.UNCHANGED
 
-    def test_a_bad_table_leaves_the_last_good_one(self):
+    def test_invalid_tables_leave_the_last_valid_ones_in_force(self):
         """
-        A table with a pool's name mistyped is published. Callers go on under the last
-        good version; the same bad version is judged once, not at each poll.
+        A table with a misspelt pool name is published. Routers must keep using the last
+        valid version, and check the invalid version only once, not at each poll.
         """
         store = TableStore()
         store.offer(*publish(2), "service")
@@ -308,37 +313,37 @@
         assert store.version == 2
         assert store.offer(*publish(3), "service").accepted
 
-    def test_a_change_needs_only_the_changed_part(self):
+    def test_change_needs_only_the_changed_part(self):
         store = TableStore()
         store.offer(*publish(1), "service")
         manifest, parts = publish(2, ROUTES + "\n")
         asked = store.consider(manifest, "service")
         assert asked.verdict is Verdict.INCOMPLETE
         assert asked.missing == (hashlib.sha256((ROUTES + "\n").encode()).hexdigest(),)
-        only = {key: parts[key] for key in asked.missing}
+        missing_parts = {key: parts[key] for key in asked.missing}
         assert store.offer(manifest, {}, "service").missing == asked.missing
-        assert store.offer(manifest, only, "service").accepted
+        assert store.offer(manifest, missing_parts, "service").accepted
         assert set(store.known) == manifest.hashes
 
-    def test_damage_on_the_way_does_not_spoil_a_version(self):
+    def test_version_is_accepted_after_a_truncated_transfer(self):
         """
-        A part arrives cut short from a peer. The offer isn't taken, and the same
-        version is taken when it comes whole.
+        A part from a peer arrives truncated. The offer must be rejected, but the same
+        version must be accepted when it arrives complete.
         """
         store = TableStore()
         manifest, parts = publish(1)
-        damaged = {key: raw[:-1] for key, raw in parts.items()}
-        answer = store.offer(manifest, damaged, "peer b")
+        corrupted = {key: raw[:-1] for key, raw in parts.items()}
+        answer = store.offer(manifest, corrupted, "peer b")
         assert answer.verdict is Verdict.INCOMPLETE
         assert "part routes-1" in answer.problems[0]
         assert store.offer(manifest, parts, "service").accepted
 
-    def test_gives_a_peer_what_it_lacks(self):
-        giver, asker = TableStore(), TableStore()
-        asker.offer(*publish(1), "service")
-        giver.offer(*publish(2, ROUTES + "\n"), "service")
-        given = giver.give(asker.wanted())
-        assert len(given.parts) == 1
-        manifest = parse_manifest(given.manifest)
-        assert asker.offer(manifest, given.parts, "peer a").accepted
-        assert giver.give(asker.wanted()).manifest == b""
+    def test_sends_a_peer_only_the_missing_parts(self):
+        source, requester = TableStore(), TableStore()
+        requester.offer(*publish(1), "service")
+        source.offer(*publish(2, ROUTES + "\n"), "service")
+        answer = source.give(requester.wanted())
+        assert len(answer.parts) == 1
+        manifest = parse_manifest(answer.manifest)
+        assert requester.offer(manifest, answer.parts, "peer a").accepted
+        assert source.give(requester.wanted()).manifest == b""
