--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -196,7 +196,7 @@
             excess_s = view.wait_s - time_limit_s
             return _build_refusal(RefusalReason.WAIT_TOO_LONG, excess_s, request_id)
         own = self._by_workspace.get(workspace.name, OrderedDict())
-        if len(own) >= self.free_slots(workspace) and not self._shed_oldest_hopeless(
+        if len(own) >= self.free_slots(workspace) and not self._shed_unmeetable(
             own, now
         ):
             reason = RefusalReason.WORKSPACE_QUEUE_FULL
@@ -206,7 +206,7 @@
             return _build_refusal(RefusalReason.QUEUE_FULL, view.wait_s, request_id)
         return None
 
-    def _shed_oldest_hopeless(
+    def _shed_unmeetable(
         self, candidates: OrderedDict[str, _Waiting], now: float
     ) -> bool:
         for request_id, entry in islice(candidates.items(), MAX_SCANNED):
@@ -216,13 +216,13 @@
         return False
 
     def _shed_for(self, workspace: Workspace, now: float) -> bool:
-        """Shed a hopeless request, or the newest of the longest queue.
+        """Shed a request that will miss its deadline, or one of the longest queue.
 
         Several floods in a row can still fill the queue. The newest request of the
         workspace with the most waiting requests is then shed in favour of a workspace
         that has at least two fewer.
         """
-        if self._shed_oldest_hopeless(self._waiting, now):
+        if self._shed_unmeetable(self._waiting, now):
             return True
         longest_queue = max(self._by_workspace.values(), key=len)
         if len(longest_queue) < self.waiting_in(workspace.name) + 2:
--- a/packages/fulmarroad/tests/test_admission.py
+++ b/packages/fulmarroad/tests/test_admission.py
@@ -101,7 +101,7 @@
 
 
 class TestShedding:
-    def test_hopeless_request_is_shed_for_a_new_one(self):
+    def test_request_that_will_miss_its_deadline_is_shed_for_a_new_one(self):
         # Servers were lost while callers with little time left waited. Keeping these
         # requests, which can't be served in time any more, would refuse one that can.
         admission = Admission()
@@ -114,7 +114,7 @@
         assert request_id == "coop-0.0-0"
         assert refusal.reason is RefusalReason.WAIT_TOO_LONG
 
-    def test_shed_returns_hopeless_requests_at_once(self):
+    def test_shed_returns_requests_that_will_miss_their_deadlines(self):
         # All servers of a pool turn cold and the wait grows to minutes. A caller that
         # is refused only near its deadline has no time left to use another service.
         admission = Admission()
