--- a/packages/fulmarroad/tests/test_rebalance.py
+++ b/packages/fulmarroad/tests/test_rebalance.py
@@ -98,7 +98,7 @@
 
     def test_lagging_workspace_moves_to_a_shard_that_serves_others(self):
         queue = queue_of(small=10)
-        queue._mean = 10.0
+        queue._mean_cost = 10.0
         self.served(queue, "large", 100.0)
         rebalancer = Rebalancer(HERE)
         rebalancer.note(report(NEAR, waiting=9, names=("large",)), 0.0, 1.0)
@@ -107,7 +107,7 @@
     @pytest.mark.parametrize("ahead", [0.0, 15.0, -100.0])
     def test_difference_below_the_threshold_moves_nothing(self, ahead):
         queue = queue_of(small=10)
-        queue._mean = 10.0
+        queue._mean_cost = 10.0
         self.served(queue, "large", ahead)
         rebalancer = Rebalancer(HERE)
         rebalancer.note(report(NEAR, waiting=9, names=("large",)), 0.0, 1.0)
