--- a/packages/fulmarroad/src/fulmarroad/_codec.py
+++ b/packages/fulmarroad/src/fulmarroad/_codec.py
@@ -1,4 +1,4 @@
-"""Encode typed messages with msgpack; reject anything that is not one."""
+"""Msgpack codec for typed messages, with validation of received frames."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from fulmarroad.types import MemberState
 
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
-"""A frame above this is refused before it is read.
+"""Largest frame in bytes; a larger one is rejected before it is decoded.
 
-Without a limit one broken peer could fill the memory of a small VM; tables are
-the largest messages and their parts are below 1 MB.
+Without a limit one faulty peer could fill the memory of a small VM. Tables are the
+largest messages, and their parts are below 1 MB.
 """
 
 T = TypeVar("T")
 
-# A tag never changes its meaning, as routers of two releases talk to each other.
+# A tag must never change its meaning: routers of two releases exchange messages.
 _TAGS: dict[int, type] = {
     1: m.Hello,
     2: m.Demand,
@@ -63,24 +63,24 @@
 def _check_number(value: Any, cls: Any) -> Any:
     if type(value) is cls or (cls is float and type(value) is int):
         return cls(value)
-    raise ValueError(f"{value!r} is no {cls.__name__}")
+    raise ValueError(f"{value!r} is not a valid {cls.__name__}")
 
 
 def _check_text(value: Any, _: type) -> str:
     if type(value) is str:
         return value
-    raise ValueError(f"{value!r} is no text")
+    raise ValueError(f"{value!r} is not a string")
 
 
-# cattrs turns "3" into 3 and 3 into "3" by default, which would hide a broken peer.
+# By default cattrs converts "3" to 3 and 3 to "3", which would hide a faulty peer.
 _converter.register_structure_hook(int, _check_number)
 _converter.register_structure_hook(float, _check_number)
 _converter.register_structure_hook(bool, _check_number)
 _converter.register_structure_hook(str, _check_text)
-# The hook for text would also take the text enums of `types`, and leave them text.
-for _name in vars(types).values():
-    if isinstance(_name, enum.EnumType):
-        _converter.register_structure_hook(_name, lambda value, cls: cls(value))
+# The hook for str also matches the string enums of `types`, and would return str.
+for _type in vars(types).values():
+    if isinstance(_type, enum.EnumType):
+        _converter.register_structure_hook(_type, lambda value, cls: cls(value))
 
 
 def _short_names(cls: type) -> dict[str, Any]:
@@ -100,29 +100,29 @@
     return make_dict_structure_fn(cls, _converter, **_short_names(cls))
 
 
-# A field goes by the letter of its place, and a default is left out: names took two
-# thirds of the control traffic. So fields are only ever added, at the end and with a
-# default; a release that doesn't know one ignores it.
+# A field is encoded as the letter of its position, and default values are omitted:
+# field names took two thirds of the control traffic. New fields must therefore be added
+# at the end, with a default; a release that doesn't know a field ignores it.
 _converter.register_unstructure_hook_factory(has, _pack)
 _converter.register_structure_hook_factory(has, _unpack)
 
 MAX_INCARNATION = 2**53
-"""Incarnations are milliseconds since 1970 and some refutations: far below this.
+"""Upper bound of incarnations: milliseconds since 1970 plus a few refutations.
 
-A broken peer that claimed 2**64 for a VM would leave that VM no higher one to
-refute it with.
+Without it, a faulty peer could claim 2**64 for a VM, which could not refute that with a
+higher incarnation.
 """
 
 
 def _pack_member(update: m.MemberUpdate) -> list[Any]:
-    # As a map the names of the fields would take half of each membership packet.
+    # As a map, field names would take half of each membership packet.
     return list(astuple(update))
 
 
 def _unpack_member(row: Any, _: type) -> m.MemberUpdate:
     router, incarnation, state, centre, host, peer_port, gossip_port = row[:7]
     if not 0 <= _check_number(incarnation, int) < MAX_INCARNATION:
-        raise ValueError(f"{incarnation!r} is no incarnation")
+        raise ValueError(f"{incarnation!r} is not a valid incarnation")
     return m.MemberUpdate(
         _check_text(router, str),
         incarnation,
@@ -150,35 +150,35 @@
 def decode(frame: bytes) -> tuple[Any, ...]:
     """Return the messages of a frame.
 
-    Raise `MessageError` for anything that `encode` could not have made.
+    Raise `MessageError` for anything that `encode` could not have produced.
     """
     if len(frame) > MAX_MESSAGE_BYTES:
-        raise MessageError(f"A frame of {len(frame)} bytes is too large.")
+        raise MessageError(f"The frame of {len(frame)} bytes is too large.")
     try:
         rows = msgpack.unpackb(frame, raw=False, strict_map_key=True)
-        return tuple(_decode_row(row) for row in rows)
+        return tuple(_decode_message(row) for row in rows)
     except MessageError:
         raise
     except Exception as error:
-        raise MessageError(f"A frame could not be read: {error}") from error
+        raise MessageError(f"The frame could not be decoded: {error}") from error
 
 
 def decode_one(frame: bytes, cls: type[T]) -> T:
-    """Return the only message of a frame, which must be of one type.
+    """Return the only message of a frame, which must be of type `cls`.
 
-    Raise `MessageError` if there are more or it is of another type.
+    Raise `MessageError` if there are several or it is of another type.
     """
     messages = decode(frame)
     if len(messages) != 1 or not isinstance(messages[0], cls):
-        raise MessageError(f"Expected one {cls.__name__}.")
+        raise MessageError(f"Expected exactly one {cls.__name__} message.")
     return messages[0]
 
 
-def _decode_row(row: Any) -> Any:
-    tag, payload = row
+def _decode_message(tagged: Any) -> Any:
+    tag, payload = tagged
     cls = _TAGS.get(tag)
     if cls is None:
-        raise MessageError(f"No message has the tag {tag!r}.")
+        raise MessageError(f"Unknown message tag {tag!r}.")
     if not isinstance(payload, dict):
-        raise MessageError(f"The payload of {cls.__name__} is no map.")
+        raise MessageError(f"The payload of {cls.__name__} is not a map.")
     return _converter.structure(payload, cls)
--- a/packages/fulmarroad/src/fulmarroad/_grpc.py
+++ b/packages/fulmarroad/src/fulmarroad/_grpc.py
@@ -1,4 +1,4 @@
-"""gRPC between routers: one stream per pair and direction, and single questions."""
+"""gRPC between routers: one stream per pair and direction, and single requests."""
 
 from __future__ import annotations
 
@@ -26,23 +26,26 @@
 SENDER_KEY = "fulmarroad-router"
 
 CONNECT_TIMEOUT_S = 1.0
-"""Peers are a few milliseconds apart; a second without a connection is a loss."""
+"""Time after which connecting to a peer fails; peers are a few milliseconds apart."""
 
-QUEUE_FRAMES = 4096
-"""Messages held for one peer; a peer that reads nothing is dropped above this.
+MAX_QUEUED_MESSAGES = 4096
+"""Messages queued for one peer; its stream is closed above this number.
 
-Without a bound a frozen peer would fill this router's memory. The stream is ended
-instead, which makes the peer say hello again with its whole state.
+Without a bound, a frozen peer would fill this router's memory. When its stream is
+closed, the peer sends a new `Hello` with its whole state.
 """
 
-PATIENCE_S = 0.1
-"""Longest wait of a message for which no caller waits: short against the term of a
-lending (2 s) and the time in which a grant may be started (1 s)."""
+MAX_BATCH_DELAY_S = 0.1
+"""Longest delay of a message for which no caller waits.
 
-_PATIENT = (Heartbeat, Lend, Progress, ServiceReport, Started)
+It is short compared with the term of a lending (2 s) and the time in which a grant may
+be started (1 s).
+"""
+
+_DELAYABLE = (Heartbeat, Lend, Progress, ServiceReport, Started)
 
 FRAME_OVERHEAD_BYTES = 5 + 9 + 40
-"""gRPC prefix, HTTP/2 frame header, IP and TCP headers: counted for each frame."""
+"""Bytes of gRPC prefix, HTTP/2 frame header, and IP and TCP headers of each frame."""
 
 _OPTIONS = [
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -65,38 +68,38 @@
 
 @define
 class TrafficCount:
-    """Count control bytes, to show what coordination costs."""
+    """Count bytes of control traffic, to measure the cost of coordination."""
 
     sent: int = 0
     received: int = 0
 
     def note_sent(self, size: int) -> None:
-        """Add a frame that was sent."""
+        """Add a sent frame of `size` bytes, with its overhead."""
         self.sent += size + FRAME_OVERHEAD_BYTES
 
     def note_received(self, size: int) -> None:
-        """Add a frame that was received."""
+        """Add a received frame of `size` bytes, with its overhead."""
         self.received += size + FRAME_OVERHEAD_BYTES
 
 
 class PeerHandler(Protocol):
-    """Take what peers send; every method returns at once."""
+    """Handle streams and requests of peers; every method must return at once."""
 
     def on_attached(self, peer: RouterName, send: Callable[[Any], None]) -> int:
-        """Note a peer's stream; `send` answers on it. Return a handle."""
+        """Register a peer's stream, to which `send` writes, and return a handle."""
 
     def on_message(self, peer: RouterName, message: Any) -> None:
-        """Take a message of a peer's stream."""
+        """Handle a message from a peer's stream."""
 
     def on_detached(self, peer: RouterName, handle: int) -> None:
-        """Note that a peer's stream ended."""
+        """Handle the end of the stream to which `handle` belongs."""
 
     async def on_request(self, peer: RouterName, message: Any) -> Any:
-        """Answer a single question."""
+        """Answer a single request."""
 
 
 class PeerStream(Protocol):
-    """Exchange messages with one peer; `PeerChannel` does it over gRPC."""
+    """Exchange messages with one peer; `PeerChannel` implements it over gRPC."""
 
     async def attach(
         self,
@@ -111,11 +114,12 @@
 
 
 class Outbox:
-    """Queue messages for one stream and batch what has gathered into one frame.
+    """Queue messages for one stream and send queued ones together in one frame.
 
-    A frame costs 54 bytes of headers, as much as a small message. Messages for which
-    no caller waits stay up to `PATIENCE_S` for others to share their frame; one for
-    which a caller waits takes all with it at once, so that the order is kept.
+    A frame costs 54 bytes of headers, as much as a small message. A message for which
+    no caller waits is delayed by up to `MAX_BATCH_DELAY_S`, so that others can share
+    its frame. A message for which a caller waits is sent at once, in one frame with all
+    queued messages, which keeps the order.
     """
 
     def __init__(self, traffic: TrafficCount) -> None:
@@ -127,23 +131,23 @@
 
     @property
     def closed(self) -> bool:
-        """Tell whether the stream takes no more messages."""
+        """Return whether the stream accepts no more messages."""
         return self._closed
 
     def put(self, message: Any) -> None:
-        """Queue a message; a queue that overflows closes the stream."""
+        """Queue a message; close the stream if the queue overflows."""
         if self._closed:
             return
         self._queue.append(message)
-        self._urgent = self._urgent or not isinstance(message, _PATIENT)
-        if len(self._queue) > QUEUE_FRAMES:
+        self._urgent = self._urgent or not isinstance(message, _DELAYABLE)
+        if len(self._queue) > MAX_QUEUED_MESSAGES:
             self._closed = True
             self._queue.clear()
         if self._urgent or self._closed or len(self._queue) == 1:
             self._wake.set()
 
     def close(self) -> None:
-        """Send what is queued, then end the stream."""
+        """Send the queued messages, then end the stream."""
         self._closed = True
         self._wake.set()
 
@@ -151,7 +155,7 @@
         """Yield frames until closed."""
         while True:
             while self._queue:
-                await self._gather()
+                await self._wait_for_batch()
                 batch, self._queue = self._queue, []
                 self._urgent = False
                 frame = encode(*batch)
@@ -163,17 +167,17 @@
             if not self._queue:
                 await self._wake.wait()
 
-    async def _gather(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Wait for more messages while none is urgent."""
         if self._urgent or self._closed:
             return
         self._wake = anyio.Event()
-        with anyio.move_on_after(PATIENCE_S):
+        with anyio.move_on_after(MAX_BATCH_DELAY_S):
             await self._wake.wait()
 
 
 class PeerServer:
-    """Listen for the streams and questions of other routers."""
+    """Listen for streams and requests of other routers."""
 
     def __init__(
         self,
@@ -230,7 +234,7 @@
     async def _attach(
         self, requests: AsyncIterator[bytes], context: grpc.aio.ServicerContext
     ) -> AsyncIterator[bytes]:
-        peer = await self._checked_peer(context)
+        peer = await self._require_peer_name(context)
         outbox = Outbox(self._traffic)
         handle = self._handler.on_attached(peer, outbox.put)
         reader = asyncio.ensure_future(self._read(peer, requests, outbox))
@@ -257,18 +261,18 @@
             outbox.close()
 
     async def _ask(self, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
-        peer = await self._checked_peer(context)
+        peer = await self._require_peer_name(context)
         self._traffic.note_received(len(request))
         try:
-            (question,) = decode(request)
+            (message,) = decode(request)
         except (MessageError, ValueError) as error:
             emit(logger, Event.PEER_REJECTED, peer=peer, cause=str(error))
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-        answer = encode(await self._handler.on_request(peer, question))
+        answer = encode(await self._handler.on_request(peer, message))
         self._traffic.note_sent(len(answer))
         return answer
 
-    async def _checked_peer(self, context: grpc.aio.ServicerContext) -> RouterName:
+    async def _require_peer_name(self, context: grpc.aio.ServicerContext) -> RouterName:
         metadata = dict(context.invocation_metadata() or ())
         peer = str(metadata.get(SENDER_KEY, ""))
         if not peer:
@@ -308,10 +312,10 @@
         self._attach = self._channel.stream_stream(f"/{SERVICE}/{ATTACH}")
         self._ask = self._channel.unary_unary(f"/{SERVICE}/{ASK}")
 
-    async def ask(self, question: Any, cls: type, timeout_s: float) -> Any:
-        """Return a peer's answer; raise `TransportError` if none comes in time."""
-        self._refuse_if_cut()
-        request = encode(question)
+    async def ask(self, message: Any, cls: type, timeout_s: float) -> Any:
+        """Return the peer's reply; raise `TransportError` if none arrives in time."""
+        self._raise_if_cut()
+        request = encode(message)
         self._traffic.note_sent(len(request))
         try:
             answer = await self._ask(
@@ -319,13 +323,15 @@
             )
         except grpc.aio.AioRpcError as error:
             raise TransportError(
-                f"Router {self._peer} gave no answer: {error.code().name}."
+                f"The request to router {self._peer} failed: {error.code().name}."
             ) from error
         self._traffic.note_received(len(answer))
         try:
             return decode_one(answer, cls)
         except MessageError as error:
-            raise TransportError(f"Router {self._peer} answered nonsense.") from error
+            raise TransportError(
+                f"Router {self._peer} sent an invalid reply."
+            ) from error
 
     async def attach(
         self,
@@ -334,14 +340,14 @@
         on_up: Callable[[], None],
     ) -> None:
         """Exchange messages until the stream ends; raise `TransportError` then."""
-        self._refuse_if_cut()
+        self._raise_if_cut()
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
                 await self._channel.channel_ready()
             call = self._attach(outbox.frames(), metadata=self._metadata)
             on_up()
             async for frame in call:
-                self._refuse_if_cut()
+                self._raise_if_cut()
                 self._traffic.note_received(len(frame))
                 for message in decode(frame):
                     on_message(message)
@@ -349,17 +355,21 @@
             raise TransportError(f"Router {self._peer} can't be reached.") from error
         except grpc.aio.AioRpcError as error:
             raise TransportError(
-                f"The stream to {self._peer} broke: {error.code().name}."
+                f"The stream to router {self._peer} failed: {error.code().name}."
             ) from error
         except MessageError as error:
             emit(logger, Event.PEER_REJECTED, peer=self._peer, cause=str(error))
-            raise TransportError(f"Router {self._peer} sent nonsense.") from error
+            raise TransportError(
+                f"Router {self._peer} sent an invalid message."
+            ) from error
         raise TransportError(f"Router {self._peer} ended the stream.")
 
     async def close(self) -> None:
         """Close the connection."""
         await self._channel.close()
 
-    def _refuse_if_cut(self) -> None:
+    def _raise_if_cut(self) -> None:
         if self._cut(self._peer):
-            raise TransportError(f"Cut from {self._peer} by bench settings.")
+            raise TransportError(
+                f"The connection to {self._peer} is cut by bench settings."
+            )
--- a/packages/fulmarroad/src/fulmarroad/_keygroup.py
+++ b/packages/fulmarroad/src/fulmarroad/_keygroup.py
@@ -1,4 +1,4 @@
-"""Coordinate calls that may not be repeated: ask groups, act on their verdict."""
+"""At-most-once calls: query the groups of a key and act on their verdict."""
 
 from __future__ import annotations
 
@@ -40,20 +40,20 @@
 logger = logging.getLogger("fulmarroad.keys")
 
 ASK_TIMEOUT_S = 1.0
-"""Wait for a group's replies: hundreds of round trips, and short beside a call."""
+"""Time limit for a group's replies: hundreds of round trips, yet short for a call."""
 
-SEND_WITHIN_S = 60.0
-"""An attempt must begin to be sent within this time of its verdict, in seconds.
+MAX_SEND_DELAY_S = 60.0
+"""Time from its verdict within which an attempt must begin to be sent, in seconds.
 
-The group forgets keys after the retention time; a process that slept through it would
-send an attempt that no repeat can see any more.
+The group deletes keys after the retention time. A process that was suspended for longer
+would otherwise send an attempt that no repeat can detect any more.
 """
 
 RETRY_AFTER_S = 5.0
-"""When a refused caller should ask again: members are replaced in about this time."""
+"""Retry delay for a refused caller: members are replaced in about this time."""
 
-COPY_EVERY_S = 1.0
-"""Time between two tries to copy records from members that have not given them."""
+COPY_INTERVAL_S = 1.0
+"""Interval between two tries to copy records from members that have not sent them."""
 
 KeyMessage = KeyStart | KeyFence | KeyFinish | KeyCopyWanted
 KeyReply = KeyRecorded | KeyCopyGiven
@@ -62,7 +62,7 @@
 
 @frozen
 class KeyAttempt:
-    """Hold the permission to send one attempt once."""
+    """Grant permission to send one attempt, once."""
 
     workspace: WorkspaceName
     key: str
@@ -70,26 +70,26 @@
     fingerprint: str
     fence: int
     group: tuple[RouterName, ...]
-    send_before: float  # on this router's clock
+    send_deadline: float  # on this router's clock
 
     def may_send(self, now: float) -> bool:
-        """Tell whether it may still be sent; ask right before its first byte."""
-        return now < self.send_before
+        """Return whether it may still be sent; check right before its first byte."""
+        return now < self.send_deadline
 
 
 @frozen
 class SendOnce:
-    """Send the call, once, and report how it ended."""
+    """Send the call once and report its outcome."""
 
     attempt: KeyAttempt
 
 
 @frozen
 class Replay:
-    """Give the stored outcome; if not `whole`, only its status is known.
+    """Return the stored outcome; if `whole` is false, only its status is known.
 
     The router then answers that the call finished with this status and that its answer
-    was too long to be kept, and not with a body that the service never gave.
+    was too long to be stored. It does not make up a body that the service never sent.
     """
 
     status: int
@@ -100,22 +100,22 @@
 
 @frozen
 class KeyInProgress:
-    """Answer that another attempt may be running; this one was not run."""
+    """Answer that another attempt may be running and that this one was not run."""
 
 
 @frozen
 class KeyOutcomeUnknown:
-    """Answer that an attempt was sent and that nobody knows how it ended."""
+    """Answer that an attempt was sent and that its outcome is unknown."""
 
 
 @frozen
 class KeyMismatch:
-    """Answer that the key came before with another request (422)."""
+    """Answer that the key was already used with a different request (422)."""
 
 
 @frozen
 class KeyRefusal:
-    """Answer that this attempt was not run, and when to ask again."""
+    """Answer that this attempt was not run, and when to retry."""
 
     reason: RefusalReason
     retry_after_s: float = RETRY_AFTER_S
@@ -127,7 +127,7 @@
 
 
 @frozen
-class _Call:
+class _KeyedCall:
     workspace: WorkspaceName
     key: str
     fingerprint: str
@@ -137,7 +137,7 @@
 
 @frozen
 class KeyIdentity:
-    """Say whose attempts these are, so that no two ever have the same name."""
+    """Identify the router that makes attempts, so that every attempt id is unique."""
 
     router: RouterName
     incarnation: int
@@ -148,8 +148,8 @@
 class KeyClocks:
     """Hold the clocks: monotonic seconds, and milliseconds since 1970 for fences.
 
-    Fences only have to grow from one repeat to the next; no promise rests on the
-    routers' clocks agreeing.
+    Fences only have to increase from one repeat to the next; correctness does not
+    depend on synchronised clocks.
     """
 
     now: Callable[[], float]
@@ -157,7 +157,7 @@
 
 
 class KeyGroups:
-    """Ask the groups of a key before a call is sent, and serve as a member of others.
+    """Query a key's groups before a call is sent, and act as a member of groups.
 
     `groups` returns the published VMs of each data centre. `ask` sends one message to a
     router and returns its reply, or raises `TransportError`.
@@ -176,17 +176,17 @@
         self._ask = ask
         self._groups = groups
         self._clocks = clocks
-        self._attempts = 0
+        self._attempt_count = 0
 
     async def begin(
         self, workspace: WorkspaceName, key: str, fingerprint: str, first_attempt: bool
     ) -> KeyDecision:
-        """Decide what to do with a keyed call, right before it would be sent.
+        """Decide how to handle a keyed call, right before it would be sent.
 
-        `first_attempt` is the caller's own word that it never sent this key before; a
-        caller that says so of a repeat takes the risk of a double call on itself.
+        `first_attempt` is the caller's claim that it never sent this key before; a
+        caller that makes this claim for a repeat accepts the risk of a double call.
         """
-        call = _Call(workspace, key, fingerprint, self._new_attempt())
+        call = _KeyedCall(workspace, key, fingerprint, self._next_attempt_id())
         if first_attempt:
             return await self._start(call)
         call = evolve(call, fence=self._clocks.wall_ms())
@@ -195,10 +195,10 @@
             call = evolve(call, fence=verdict.fence + 1)
             verdict = await self._fence(call)
         if isinstance(verdict, Fenced):
-            # The key itself is the caller's secret and stays out of the log.
+            # The key is the caller's secret and must not appear in the log.
             emit(logger, Event.KEY_FENCED, workspace=workspace, attempt=call.attempt)
             return await self._start(call)
-        return _decision(verdict)
+        return _to_decision(verdict)
 
     async def finish(
         self,
@@ -207,25 +207,25 @@
         headers: tuple[tuple[str, str], ...] = (),
         body: bytes = b"",
     ) -> None:
-        """Keep an attempt's answer for repeats."""
+        """Store an attempt's answer for repeats."""
         if answer_size(headers, body) > MAX_BODY_BYTES:
-            await self._end(attempt, "finished", status, whole=False)
+            await self._record_outcome(attempt, "finished", status, whole=False)
             return
-        await self._end(attempt, "finished", status, headers, body)
+        await self._record_outcome(attempt, "finished", status, headers, body)
 
     async def mark_outcome_unknown(self, attempt: KeyAttempt) -> None:
-        """Keep that an attempt was sent and that its outcome is not known."""
-        await self._end(attempt, "unknown", 0)
+        """Record that an attempt was sent and that its outcome is unknown."""
+        await self._record_outcome(attempt, "unknown", 0)
 
     async def give_up(self, attempt: KeyAttempt) -> None:
-        """Free the key of an attempt of which no byte was or will be sent."""
-        await self._end(attempt, "not_run", 0)
+        """Release the key of an attempt of which no byte was or will be sent."""
+        await self._record_outcome(attempt, "not_run", 0)
 
     def handle(self, message: KeyMessage) -> KeyReply:
-        """Answer as a member of a group."""
+        """Answer a message as a member of the key's group."""
         now = self._clocks.now()
-        own = self._groups().get(self._identity.data_centre, ())
-        self._store.set_vms(own, now)
+        local_vms = self._groups().get(self._identity.data_centre, ())
+        self._store.set_vms(local_vms, now)
         match message:
             case KeyStart():
                 return self._store.start(message, now)
@@ -237,70 +237,72 @@
                 return self._store.serve_copy(message, now)
 
     async def run_copying(self) -> None:
-        """Copy the records of the groups that this router has no memory of."""
+        """Copy missing records of this router's groups until cancelled."""
         while True:
             await self.copy_once()
-            await anyio.sleep(COPY_EVERY_S)
+            await anyio.sleep(COPY_INTERVAL_S)
 
     async def copy_once(self) -> None:
-        """Try each member that has not yet given its records."""
+        """Copy the records of each member that has not sent all of them yet."""
         now = self._clocks.now()
-        own = self._groups().get(self._identity.data_centre, ())
-        self._store.set_vms(own, now)
-        wanted = self._store.missing_copies(now)
-        for router in wanted:
+        local_vms = self._groups().get(self._identity.data_centre, ())
+        self._store.set_vms(local_vms, now)
+        missing = self._store.missing_copies(now)
+        for router in missing:
             await self._copy_from(router)
-        if wanted and not self._store.missing_copies(self._clocks.now()):
-            emit(logger, Event.KEYS_COPIED, members=len(wanted))
+        if missing and not self._store.missing_copies(self._clocks.now()):
+            emit(logger, Event.KEYS_COPIED, members=len(missing))
 
     async def _copy_from(self, router: RouterName) -> None:
         vms = tuple(sorted(self._store.vms))
         after = ""
         while True:
-            centre, me = self._identity.data_centre, self._identity.router
-            wanted = KeyCopyWanted(centre, after, asker=me, vms=vms)
-            given = await self._reply(router, wanted)
-            if not isinstance(given, KeyCopyGiven) or not given.ready:
+            centre, own_name = self._identity.data_centre, self._identity.router
+            request = KeyCopyWanted(centre, after, asker=own_name, vms=vms)
+            page = await self._request_reply(router, request)
+            if not isinstance(page, KeyCopyGiven) or not page.ready:
                 return
-            self._store.merge_copy(router, vms, given, self._clocks.now())
-            if not given.more:
+            self._store.merge_copy(router, vms, page, self._clocks.now())
+            if not page.more:
                 return
-            after = given.last
+            after = page.last
 
-    async def _start(self, call: _Call) -> KeyDecision:
-        group = self._group(self._identity.data_centre, call)
+    async def _start(self, call: _KeyedCall) -> KeyDecision:
+        group = self._group_of(self._identity.data_centre, call)
         message = KeyStart(
             call.workspace, call.key, call.attempt, call.fingerprint, call.fence, group
         )
 
-        def judge(replies: list[KeyRecorded]) -> Verdict:
+        def evaluate(replies: list[KeyRecorded]) -> Verdict:
             return decide_start(replies, len(group), call.attempt, call.fingerprint)
 
         replies: list[KeyRecorded] = []
-        attempt = self._attempt(call, group)
+        attempt = self._create_attempt(call, group)
         try:
             await self._gather(
                 dict.fromkeys(group, message),
                 lambda _, reply: replies.append(reply),
-                lambda: isinstance(judge(replies), Started),
+                lambda: isinstance(evaluate(replies), Started),
             )
         except anyio.get_cancelled_exc_class():
-            await self.give_up(attempt)  # or a caller that left leaves its key blocked
+            await self.give_up(attempt)  # or a disconnected caller's key stays blocked
             raise
-        verdict = judge(replies)
+        verdict = evaluate(replies)
         if isinstance(verdict, Started):
             return SendOnce(attempt)
         await self.give_up(attempt)
-        return _decision(verdict)
+        return _to_decision(verdict)
 
-    async def _fence(self, call: _Call) -> Verdict:
-        groups = {centre: self._group(centre, call) for centre in self._groups()}
+    async def _fence(self, call: _KeyedCall) -> Verdict:
+        groups = {centre: self._group_of(centre, call) for centre in self._groups()}
         groups = {centre: group for centre, group in groups.items() if group}
         sizes = {centre: len(group) for centre, group in groups.items()}
-        centre_of = {name: centre for centre, row in groups.items() for name in row}
+        centre_of = {
+            name: centre for centre, members in groups.items() for name in members
+        }
         replies: dict[DataCentreName, list[KeyRecorded]] = {c: [] for c in groups}
 
-        def judge() -> Verdict:
+        def evaluate() -> Verdict:
             ballot = (call.fence, call.attempt)
             return decide_fence(replies, sizes, ballot, call.fingerprint)
 
@@ -317,11 +319,11 @@
                 for name, centre in centre_of.items()
             },
             lambda name, reply: replies[centre_of[name]].append(reply),
-            lambda: isinstance(judge(), Fenced | Finished),
+            lambda: isinstance(evaluate(), Fenced | Finished),
         )
-        return judge() if groups else Unverifiable()
+        return evaluate() if groups else Unverifiable()
 
-    async def _end(
+    async def _record_outcome(
         self,
         attempt: KeyAttempt,
         outcome: str,
@@ -352,24 +354,24 @@
     async def _gather(
         self,
         messages: Mapping[RouterName, KeyMessage],
-        take: Callable[[RouterName, KeyRecorded], None],
-        enough: Callable[[], bool],
+        on_reply: Callable[[RouterName, KeyRecorded], None],
+        is_decided: Callable[[], bool],
     ) -> None:
-        """Ask all at once; return when enough is known or the time is over."""
+        """Ask all routers at once; return once decided or after the timeout."""
         with anyio.move_on_after(ASK_TIMEOUT_S) as scope:
             async with anyio.create_task_group() as group:
 
-                async def one(name: RouterName, message: KeyMessage) -> None:
-                    reply = await self._reply(name, message)
+                async def ask_member(name: RouterName, message: KeyMessage) -> None:
+                    reply = await self._request_reply(name, message)
                     if isinstance(reply, KeyRecorded):
-                        take(name, reply)
-                        if enough():
+                        on_reply(name, reply)
+                        if is_decided():
                             scope.cancel()
 
                 for name, message in messages.items():
-                    group.start_soon(one, name, message)
+                    group.start_soon(ask_member, name, message)
 
-    async def _reply(self, router: RouterName, message: KeyMessage) -> Any:
+    async def _request_reply(self, router: RouterName, message: KeyMessage) -> Any:
         if router == self._identity.router:
             return self.handle(message)
         try:
@@ -377,10 +379,14 @@
         except TransportError:
             return None
 
-    def _group(self, centre: DataCentreName, call: _Call) -> tuple[RouterName, ...]:
+    def _group_of(
+        self, centre: DataCentreName, call: _KeyedCall
+    ) -> tuple[RouterName, ...]:
         return key_group(call.workspace, call.key, self._groups().get(centre, ()))
 
-    def _attempt(self, call: _Call, group: tuple[RouterName, ...]) -> KeyAttempt:
+    def _create_attempt(
+        self, call: _KeyedCall, group: tuple[RouterName, ...]
+    ) -> KeyAttempt:
         return KeyAttempt(
             call.workspace,
             call.key,
@@ -388,16 +394,16 @@
             call.fingerprint,
             call.fence,
             group,
-            self._clocks.now() + SEND_WITHIN_S,
+            self._clocks.now() + MAX_SEND_DELAY_S,
         )
 
-    def _new_attempt(self) -> str:
-        self._attempts += 1
-        row = self._identity
-        return f"{row.router}/{row.incarnation}/{self._attempts}"
+    def _next_attempt_id(self) -> str:
+        self._attempt_count += 1
+        identity = self._identity
+        return f"{identity.router}/{identity.incarnation}/{self._attempt_count}"
 
 
-def _decision(verdict: Verdict) -> KeyDecision:
+def _to_decision(verdict: Verdict) -> KeyDecision:
     match verdict:
         case Finished(record):
             whole = record.reason != "body_not_kept"
@@ -411,5 +417,5 @@
         case Unverifiable():
             return KeyRefusal(RefusalReason.KEY_UNVERIFIABLE)
         case _:
-            # A higher fence is another repeat's, which may be about to be sent.
+            # A higher fence belongs to another repeat, which may be about to be sent.
             return KeyInProgress()
--- a/packages/fulmarroad/src/fulmarroad/_keymemory.py
+++ b/packages/fulmarroad/src/fulmarroad/_keymemory.py
@@ -1,8 +1,9 @@
-"""Whether a group member may vote on a key: does it know all that it voted before?
+"""Eligibility of a group member to vote on a key.
 
-Two ways lead to a double call without this. A restarted member has forgotten the start
-that it recorded and lets a repeat through. Or the VM list changes, the key's group with
-it, and the new group knows nothing of what a majority of the old one recorded.
+A member may vote only if it knows all that it voted before. Otherwise a call could run
+twice in two ways. A restarted member has lost the start that it recorded and lets a
+repeat through. Or the VM list changes, the key's group changes with it, and the new
+group does not know what a majority of the old one recorded.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from fulmarroad._rendezvous import key_group
 from fulmarroad.types import RouterName
 
-MAX_LISTS = 16
-"""VM lists remembered since the last one that was wholly known; above it, none is."""
+MAX_VM_LISTS = 16
+"""VM lists remembered after the basis; above this number the basis is discarded."""
 
 VmSet = frozenset[RouterName]
 
@@ -27,98 +28,103 @@
 
 
 def majority(size: int) -> int:
-    """Return how many of a group are a majority."""
+    """Return the number of members that form a majority of a group."""
     return size // 2 + 1
 
 
 class VotingEligibility:
-    """Judge for each key whether this member knows what its group recorded.
-
-    `basis` is the last VM list by which this member knows every key of its groups. A
-    member is ready for a key if it was in the key's group under the basis and every
-    list since, or if all others of the group have copied their records to it; and in
-    both cases only if the memories lost on the way are too few for a majority. With
-    two of three gone at once nobody is ready, and repeats are refused until the
-    retention time has passed.
+    """Decide for each key whether this member knows what its group recorded.
+
+    `basis` is the latest VM list for which this member knows every key of its groups. A
+    member may vote on a key if it was in the key's group under the basis and every
+    list since, or if it has copied the records of all other members of the group. In
+    both cases, the members that lost their records meanwhile must be too few for a
+    majority. If two of three lose them at once, no member may vote, and repeats are
+    refused until the retention time has passed.
     """
 
     def __init__(self, me: RouterName, retention_s: float, now: float) -> None:
         self._me = me
         self._retention_s = retention_s
         self._vms: VmSet = frozenset()
-        self._since = now
+        self._current_since = now
         self._basis: VmSet | None = None
-        self._lists: list[VmSet] = []  # in force after the basis, the last one now
+        # Lists adopted after the basis; the last one is current.
+        self._later_lists: list[VmSet] = []
         self._copies: dict[RouterName, _Copy] = {}
 
     @property
     def vms(self) -> VmSet:
-        """Return the VM list in force."""
+        """Return the current VM list."""
         return self._vms
 
     def basis(self, now: float) -> VmSet | None:
-        """Return the list by which every key of this member's groups is known."""
-        if now - self._since >= self._retention_s and self._vms:
-            self._settle()
+        """Return the VM list for which this member knows every key of its groups."""
+        if now - self._current_since >= self._retention_s and self._vms:
+            self._advance_basis()
         return self._basis
 
-    def trust(self) -> None:
-        """Take it that no key was ever recorded, as in a fleet's first start."""
-        self._settle()
+    def assume_no_records(self) -> None:
+        """Assume that no key was ever recorded, as when a fleet first starts."""
+        self._advance_basis()
 
     def set_vms(self, vms: Collection[RouterName], now: float) -> None:
-        """Take a new VM list over."""
+        """Adopt a new VM list."""
         if frozenset(vms) == self._vms:
             return
         self.basis(now)
         self._vms = frozenset(vms)
-        self._since = now
+        self._current_since = now
         self._copies.clear()
-        self._lists.append(self._vms)
-        if len(self._lists) > MAX_LISTS:
+        self._later_lists.append(self._vms)
+        if len(self._later_lists) > MAX_VM_LISTS:
             self._basis = None
-            self._lists = [self._vms]
+            self._later_lists = [self._vms]
 
-    def wanted(self, now: float) -> list[RouterName]:
+    def missing_copies(self, now: float) -> list[RouterName]:
         """Return the members whose records are still to be copied."""
         if self.basis(now) == self._vms:
             return []
         return sorted(self._vms - {self._me} - set(self._copies))
 
-    def note_copy(
+    def record_copy(
         self, router: RouterName, vms: Collection[RouterName], basis: VmSet
     ) -> None:
-        """Note that a member's records have all arrived, asked for under a list."""
+        """Record that all records of a member, requested under `vms`, have arrived."""
         if frozenset(vms) != self._vms:
             return
         self._copies[router] = _Copy(basis)
-        if self._is_whole():
-            self._settle()
+        if self._copies_cover_all_keys():
+            self._advance_basis()
 
     def ready(self, name: KeyName, now: float) -> bool:
-        """Tell whether this member may vote on a key."""
+        """Return whether this member may vote on a key."""
         group = key_group(*name, self._vms)
         if self._me not in group:
             return False
-        return self._kept(name, group, now) or self._copied(name, group)
+        return self._knows_since_basis(name, group, now) or self._knows_by_copies(
+            name, group
+        )
 
-    def _kept(self, name: KeyName, group: tuple[RouterName, ...], now: float) -> bool:
+    def _knows_since_basis(
+        self, name: KeyName, group: tuple[RouterName, ...], now: float
+    ) -> bool:
         basis = self.basis(now)
         if basis is None:
             return False
         before = key_group(*name, basis)
-        lists = [basis, *self._lists]
+        lists = [basis, *self._later_lists]
         if any(self._me not in key_group(*name, vms) for vms in lists):
             return False
-        return _enough_left(before, set(before) - set(group))
+        return _every_majority_knows(before, set(before) - set(group))
 
-    def _copied(self, name: KeyName, group: tuple[RouterName, ...]) -> bool:
+    def _knows_by_copies(self, name: KeyName, group: tuple[RouterName, ...]) -> bool:
         for router in group:
-            if router != self._me and not self._copy_counts(router, name, group):
+            if router != self._me and not self._is_copy_sufficient(router, name, group):
                 return False
         return len(group) > 1
 
-    def _copy_counts(
+    def _is_copy_sufficient(
         self, router: RouterName, name: KeyName, group: tuple[RouterName, ...]
     ) -> bool:
         copy = self._copies.get(router)
@@ -126,10 +132,10 @@
             return False
         before = key_group(*name, copy.basis)
         lost = (set(before) - set(group)) | ({self._me} & set(before))
-        return router in before and _enough_left(before, lost)
+        return router in before and _every_majority_knows(before, lost)
 
-    def _is_whole(self) -> bool:
-        """Tell whether the copies cover every key, whatever its group."""
+    def _copies_cover_all_keys(self) -> bool:
+        """Return whether the copies cover every key, whatever its group."""
         if set(self._copies) != self._vms - {self._me}:
             return False
         bases = {copy.basis for copy in self._copies.values()}
@@ -138,15 +144,17 @@
         basis = self._basis
         if basis is None or not bases <= {basis, self._vms}:
             return False
-        # One VM out and one in change each group by one member at most.
-        few = len(basis - self._vms) <= 1 and len(self._vms - basis) <= 1
-        return few and len(self._lists) == 1
+        # Removing one VM and adding one changes each group by one member at most.
+        single_replacement = len(basis - self._vms) <= 1 and len(self._vms - basis) <= 1
+        return single_replacement and len(self._later_lists) == 1
 
-    def _settle(self) -> None:
+    def _advance_basis(self) -> None:
         self._basis = self._vms
-        self._lists.clear()
+        self._later_lists.clear()
 
 
-def _enough_left(before: tuple[RouterName, ...], lost: set[RouterName]) -> bool:
-    """Tell whether every majority of a former group has a member that remembers."""
+def _every_majority_knows(
+    before: tuple[RouterName, ...], lost: set[RouterName]
+) -> bool:
+    """Return whether every majority of a former group has a member with its records."""
     return len(lost) < majority(len(before))
--- a/packages/fulmarroad/src/fulmarroad/_keyrecords.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyrecords.py
@@ -1,4 +1,4 @@
-"""A group member's records of keys: bounded, and never dropped before their time."""
+"""Key records of a group member: bounded, and never evicted before they expire."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from fulmarroad.types import WorkspaceName
 
 MAX_BODY_BYTES = 64 * 1024
-"""Longest answer that is kept for a repeat, with its headers.
+"""Longest answer, with its headers, that is stored for a repeat.
 
-Receipts and booking records are far smaller; a longer one is known to have finished,
-with its status, but can't be given again.
+Receipts and booking records are far smaller. For a longer answer only the status is
+stored, so that it can't be replayed in full.
 """
 
-BODIES_BYTES = 4 * 1024 * 1024
-"""Bytes of answers kept in all, an eighth of a router's memory for control."""
+MAX_TOTAL_BODY_BYTES = 4 * 1024 * 1024
+"""Total bytes of stored answers, an eighth of a router's memory for control data."""
 
-BODIES_WORKSPACE_SHARE = 8
-"""One workspace may take this part of them at most, so that others keep theirs."""
+BODIES_WORKSPACE_DIVISOR = 8
+"""One workspace may use the total divided by this, so that others can store theirs."""
 
-CROWDED = 0.75
-"""From this part of its room on, the store holds each workspace to an even share.
+EVEN_SHARE_THRESHOLD = 0.75
+"""Fraction of its capacity from which the store limits workspaces to an even share.
 
-One workspace that sends a new key with each call would else take all of it, and keyed
-calls of the others would be refused for as long as keys are kept.
+Otherwise one workspace that sends a new key with each call would fill the store, and
+keyed calls of the others would be refused for the whole retention time.
 """
 
 KeyName = tuple[WorkspaceName, str]
 
 
 class KeyState(enum.StrEnum):
-    """Say what a record knows of its key; later ones outweigh earlier ones."""
+    """List the states of a key's record; later ones take precedence."""
 
     ABSENT = "absent"
     FENCED = "fenced"
@@ -45,7 +45,7 @@
     UNABLE = "unable"
 
 
-WEIGHT = {
+STATE_PRECEDENCE = {
     KeyState.ABSENT: 0,
     KeyState.FENCED: 1,
     KeyState.STARTED: 2,
@@ -56,12 +56,12 @@
 
 @frozen
 class KeyLimits:
-    """Bound what a group member keeps, and for how long in seconds."""
+    """Limit what a group member stores, and for how long in seconds."""
 
     retention_s: float = 3600.0
     max_per_workspace: int = 2048
     max_total: int = 16384
-    bodies_bytes: int = BODIES_BYTES
+    bodies_bytes: int = MAX_TOTAL_BODY_BYTES
 
 
 @define
@@ -69,7 +69,8 @@
     """Hold one key's record.
 
     `fence` and `attempt` together are the fence of a fenced record, or the attempt of a
-    started one. `copied` marks what came from another member and is no own vote.
+    started one. `copied` marks a record that came from another member and does not
+    count as this member's vote.
     """
 
     state: KeyState
@@ -85,11 +86,11 @@
 
     @property
     def size(self) -> int:
-        """Return the bytes of the answer that it keeps."""
+        """Return the size of the stored answer in bytes."""
         return answer_size(self.headers, self.body)
 
     def to_reply(self, reason: str = "") -> KeyRecorded:
-        """Return the record as a reply."""
+        """Return the record as a reply message."""
         return KeyRecorded(
             self.state.value,
             self.attempt,
@@ -104,78 +105,83 @@
 
 @define
 class KeyRecords:
-    """Hold the records of all workspaces, the least lately changed first."""
+    """Hold the records of all workspaces, the least recently changed first."""
 
     limits: KeyLimits
-    _rows: OrderedDict[KeyName, Record] = field(factory=OrderedDict, init=False)
-    _count: Counter[WorkspaceName] = field(factory=Counter, init=False)
-    _bytes: Counter[WorkspaceName] = field(factory=Counter, init=False)
-    _total_bytes: int = field(default=0, init=False)
+    _records: OrderedDict[KeyName, Record] = field(factory=OrderedDict, init=False)
+    _record_counts: Counter[WorkspaceName] = field(factory=Counter, init=False)
+    _answer_bytes: Counter[WorkspaceName] = field(factory=Counter, init=False)
+    _total_answer_bytes: int = field(default=0, init=False)
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._records)
 
     def get(self, name: KeyName) -> Record | None:
-        """Return a key's record."""
-        return self._rows.get(name)
+        """Return a key's record, if there is one."""
+        return self._records.get(name)
 
     def has_capacity(self, workspace: WorkspaceName) -> bool:
-        """Tell whether a workspace may have one more record."""
-        held = self._count[workspace]
-        if len(self._rows) >= self.limits.max_total:
+        """Return whether a workspace may have one more record."""
+        held = self._record_counts[workspace]
+        if len(self._records) >= self.limits.max_total:
             return False
         if held >= self.limits.max_per_workspace:
             return False
-        if len(self._rows) < CROWDED * self.limits.max_total:
+        if len(self._records) < EVEN_SHARE_THRESHOLD * self.limits.max_total:
             return True
-        # One share more than there are workspaces waits for the next one that comes.
-        return held < self.limits.max_total / (len(self._count) + 1)
+        # The extra share is reserved for the next new workspace.
+        return held < self.limits.max_total / (len(self._record_counts) + 1)
 
     def put(self, name: KeyName, record: Record, now: float) -> Record:
-        """Set and return a key's record; an answer without room is left out of it."""
+        """Set and return a key's record; leave out an answer that does not fit."""
         self.drop(name)
-        if not self._has_room_for_answer(name[0], record):
+        if not self._has_capacity_for_answer(name[0], record):
             record = evolve(record, headers=(), body=b"", body_kept=False)
         record.changed = now
-        self._rows[name] = record
-        self._count[name[0]] += 1
-        self._bytes[name[0]] += record.size
-        self._total_bytes += record.size
+        self._records[name] = record
+        self._record_counts[name[0]] += 1
+        self._answer_bytes[name[0]] += record.size
+        self._total_answer_bytes += record.size
         return record
 
     def drop(self, name: KeyName) -> None:
-        """Forget a key."""
-        record = self._rows.pop(name, None)
+        """Delete a key's record."""
+        record = self._records.pop(name, None)
         if record is None:
             return
-        self._total_bytes -= record.size
-        for counter, amount in ((self._count, 1), (self._bytes, record.size)):
+        self._total_answer_bytes -= record.size
+        for counter, amount in (
+            (self._record_counts, 1),
+            (self._answer_bytes, record.size),
+        ):
             counter[name[0]] -= amount
-        if self._count[name[0]] <= 0:
-            del self._count[name[0]], self._bytes[name[0]]
+        if self._record_counts[name[0]] <= 0:
+            del self._record_counts[name[0]], self._answer_bytes[name[0]]
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose time has passed."""
-        while self._rows:
-            name, record = next(iter(self._rows.items()))
+        """Delete the records whose retention time has passed."""
+        while self._records:
+            name, record = next(iter(self._records.items()))
             if now - record.changed < self.limits.retention_s:
                 return
             self.drop(name)
 
     def items(self) -> Iterator[tuple[KeyName, Record]]:
         """Yield all records."""
-        yield from self._rows.items()
+        yield from self._records.items()
 
-    def _has_room_for_answer(self, workspace: WorkspaceName, record: Record) -> bool:
-        size, room = record.size, self.limits.bodies_bytes
-        share = room / BODIES_WORKSPACE_SHARE
+    def _has_capacity_for_answer(
+        self, workspace: WorkspaceName, record: Record
+    ) -> bool:
+        size, capacity = record.size, self.limits.bodies_bytes
+        share = capacity / BODIES_WORKSPACE_DIVISOR
         return (
             size <= MAX_BODY_BYTES
-            and self._total_bytes + size <= room
-            and self._bytes[workspace] + size <= share
+            and self._total_answer_bytes + size <= capacity
+            and self._answer_bytes[workspace] + size <= share
         )
 
 
 def answer_size(headers: tuple[tuple[str, str], ...], body: bytes) -> int:
-    """Return the bytes of an answer's headers and body."""
+    """Return the size of an answer's headers and body in bytes."""
     return len(body) + sum(len(name) + len(value) for name, value in headers)
--- a/packages/fulmarroad/src/fulmarroad/_keys.py
+++ b/packages/fulmarroad/src/fulmarroad/_keys.py
@@ -1,9 +1,10 @@
-"""Calls that may not be repeated: a group member's records and votes.
+"""At-most-once calls: a group member's records and votes.
 
 An attempt is sent only after a majority of the key's group in the sender's data centre
-recorded its start. A repeat first raises a fence at a majority of the key's group in
-every data centre. Any two majorities of a group share a member, and that member either
-saw the start first, and tells the repeat, or the fence first, and refuses the start.
+recorded its start. A repeat first sets a fence at a majority of the key's group in
+every data centre. Any two majorities of a group share a member. That member received
+either the start first and reports it to the repeat, or the fence first and refuses the
+start.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from fulmarroad._keymemory import VotingEligibility
 from fulmarroad._keyrecords import (
-    WEIGHT,
+    STATE_PRECEDENCE,
     KeyLimits,
     KeyName,
     KeyRecords,
@@ -32,8 +33,8 @@
 from fulmarroad._rendezvous import key_group
 from fulmarroad.types import DataCentreName, RouterName
 
-LONG_AGO_S = 900.0
-"""A start without an end is called unknown after this, and in progress before.
+UNKNOWN_AFTER_S = 900.0
+"""Age from which a start without an outcome counts as unknown, not in progress.
 
 It is the longest graceful shutdown, which is above every route's timeout.
 """
@@ -62,26 +63,26 @@
 
     @property
     def vms(self) -> frozenset[RouterName]:
-        """Return the VMs of the data centre by which groups are formed."""
+        """Return the VMs of the data centre from which groups are formed."""
         return self._eligibility.vms
 
     def set_vms(self, vms: Collection[RouterName], now: float) -> None:
-        """Take the published VMs of this data centre over."""
+        """Adopt the published VMs of this data centre."""
         self._eligibility.set_vms(vms, now)
         if self._first_fleet and vms:
-            self._eligibility.trust()
+            self._eligibility.assume_no_records()
             self._first_fleet = False
 
     def start(self, asked: KeyStart, now: float) -> KeyRecorded:
-        """Record that an attempt is about to be sent, unless something forbids it."""
+        """Record that an attempt is about to be sent, unless a record forbids it."""
         return self._vote(asked, KeyState.STARTED, _forbids_start, now)
 
     def fence(self, asked: KeyFence, now: float) -> KeyRecorded:
-        """Refuse lower attempts from now on, or tell what was recorded before."""
-        return self._vote(asked, KeyState.FENCED, _outweighs_fence, now)
+        """Refuse lower attempts from now on, or return what was recorded before."""
+        return self._vote(asked, KeyState.FENCED, _forbids_fence, now)
 
     def finish(self, asked: KeyFinish, now: float) -> KeyRecorded:
-        """Keep what became of an attempt; a fact needs no vote."""
+        """Store an attempt's outcome, which needs no vote."""
         self._records.expire(now)
         name = (asked.workspace, asked.key)
         known = self._records.get(name)
@@ -94,14 +95,14 @@
         return self._records.put(name, record, now).to_reply()
 
     def serve_copy(self, asked: KeyCopyWanted, now: float) -> KeyCopyGiven:
-        """Give the records of the groups that the asker is in too."""
+        """Return the records of the groups that the asker is also in."""
         self._records.expire(now)
         basis = self._eligibility.basis(now)
         if basis is None or frozenset(asked.vms) != self._eligibility.vms:
             return KeyCopyGiven(False)
-        rows = self._shared(asked)
+        rows = self._shared_names(asked)
         page = rows[: asked.limit]
-        entries = tuple(self._entry(name, now) for name in page)
+        entries = tuple(self._to_entry(name, now) for name in page)
         last = _cursor(page[-1]) if page else ""
         return KeyCopyGiven(
             True, entries, last, len(rows) > len(page), tuple(sorted(basis))
@@ -111,28 +112,28 @@
         self,
         router: RouterName,
         vms: Collection[RouterName],
-        given: KeyCopyGiven,
+        page: KeyCopyGiven,
         now: float,
     ) -> None:
-        """Add a page of another member's records; the last one counts as whole."""
-        for entry in given.entries:
-            self._adopt(entry, now)
-        if given.ready and not given.more:
-            self._eligibility.note_copy(router, vms, frozenset(given.basis))
+        """Add a page of another member's records; the last page completes the copy."""
+        for entry in page.entries:
+            self._merge_entry(entry, now)
+        if page.ready and not page.more:
+            self._eligibility.record_copy(router, vms, frozenset(page.basis))
 
     def missing_copies(self, now: float) -> list[RouterName]:
         """Return the members whose records are still to be copied."""
-        return self._eligibility.wanted(now)
+        return self._eligibility.missing_copies(now)
 
     def ready(self, workspace: str, key: str, now: float) -> bool:
-        """Tell whether this member may vote on a key."""
+        """Return whether this member may vote on a key."""
         return self._eligibility.ready((workspace, key), now)
 
     def _vote(
         self,
         asked: KeyStart | KeyFence,
         state: KeyState,
-        outweighs: Callable[[Record, tuple[int, str]], bool],
+        forbids: Callable[[Record, tuple[int, str]], bool],
         now: float,
     ) -> KeyRecorded:
         name = (asked.workspace, asked.key)
@@ -140,8 +141,8 @@
         if refusal is not None:
             return refusal
         known = self._records.get(name)
-        if known is not None and outweighs(known, (asked.fence, asked.attempt)):
-            return self._told(known, now)
+        if known is not None and forbids(known, (asked.fence, asked.attempt)):
+            return self._known_reply(known, now)
         record = Record(state, asked.attempt, asked.fence, asked.fingerprint)
         return self._records.put(name, record, now).to_reply()
 
@@ -158,41 +159,44 @@
             reason = FULL
         return KeyRecorded(KeyState.UNABLE.value, reason=reason) if reason else None
 
-    def _told(self, record: Record, now: float) -> KeyRecorded:
+    def _known_reply(self, record: Record, now: float) -> KeyRecorded:
         if record.state is not KeyState.STARTED:
             return record.to_reply()
-        if now - record.changed >= LONG_AGO_S:
+        if now - record.changed >= UNKNOWN_AFTER_S:
             return record.to_reply(LONG_AGO)
         return record.to_reply(COPIED if record.copied else "")
 
-    def _shared(self, asked: KeyCopyWanted) -> list[KeyName]:
+    def _shared_names(self, asked: KeyCopyWanted) -> list[KeyName]:
         names = (name for name, _ in self._records.items())
         later = (name for name in names if _cursor(name) > asked.after)
         vms = self._eligibility.vms
         return sorted(name for name in later if asked.asker in key_group(*name, vms))
 
-    def _entry(self, name: KeyName, now: float) -> KeyEntry:
+    def _to_entry(self, name: KeyName, now: float) -> KeyEntry:
         record = self._records.get(name)
         assert record is not None
         return KeyEntry(*name, now - record.changed, record.to_reply())
 
-    def _adopt(self, entry: KeyEntry, now: float) -> None:
-        """Keep the weightier of two records: a start that one member saw may count."""
+    def _merge_entry(self, entry: KeyEntry, now: float) -> None:
+        """Keep the record that takes precedence: a start at one member may count."""
         name = (entry.workspace, entry.key)
         state = KeyState(entry.record.state)
         known = self._records.get(name)
-        if known is not None and WEIGHT[known.state] >= WEIGHT[state]:
+        if (
+            known is not None
+            and STATE_PRECEDENCE[known.state] >= STATE_PRECEDENCE[state]
+        ):
             return
-        told = entry.record
+        reply = entry.record
         record = Record(
             state,
-            told.attempt,
-            told.fence,
-            told.fingerprint,
-            told.status,
-            told.headers,
-            told.body,
-            told.reason != "body_not_kept",
+            reply.attempt,
+            reply.fence,
+            reply.fingerprint,
+            reply.status,
+            reply.headers,
+            reply.body,
+            reply.reason != "body_not_kept",
             copied=True,
         )
         self._records.put(name, record, now)
@@ -204,7 +208,7 @@
     return True
 
 
-def _outweighs_fence(known: Record, ballot: tuple[int, str]) -> bool:
+def _forbids_fence(known: Record, ballot: tuple[int, str]) -> bool:
     if known.state is KeyState.FENCED:
         return ballot < (known.fence, known.attempt)
     return True
@@ -216,7 +220,7 @@
         return Record(KeyState.FENCED, "", 1)
     if known.attempt != attempt or known.state is not KeyState.STARTED:
         return known
-    # The fence keeps a start that is still on its way from being recorded again.
+    # The fence prevents a delayed start message from being recorded again.
     return Record(KeyState.FENCED, "", known.fence + 1, known.fingerprint)
 
 
--- a/packages/fulmarroad/src/fulmarroad/_keyverdict.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyverdict.py
@@ -1,4 +1,4 @@
-"""What the replies of a key's groups mean."""
+"""Verdicts on a keyed call, derived from the replies of the key's groups."""
 
 from __future__ import annotations
 
@@ -17,51 +17,51 @@
 
 @frozen
 class Started:
-    """The attempt may be sent: no repeat can get past its record."""
+    """Allow the attempt to be sent: every repeat will find its record."""
 
 
 @frozen
 class Fenced:
-    """No other attempt was or will be sent below the fence."""
+    """Report that no other attempt was or will be sent below the fence."""
 
 
 @frozen
 class Finished:
-    """An attempt ended; its outcome is kept."""
+    """Report that an attempt ended, with its stored outcome."""
 
     record: KeyRecorded
 
 
 @frozen
 class InProgress:
-    """Another attempt was, or may be, about to be sent."""
+    """Report that another attempt was, or may be, about to be sent."""
 
 
 @frozen
 class Unknown:
-    """An attempt was sent, or may have been, and its outcome is not known."""
+    """Report that an attempt was or may have been sent, with an unknown outcome."""
 
 
 @frozen
 class Superseded:
-    """Another repeat holds a higher fence."""
+    """Report that another repeat holds a higher fence."""
 
     fence: int
 
 
 @frozen
 class Full:
-    """The group has no room for another key."""
+    """Report that the group has no capacity for another key."""
 
 
 @frozen
 class Mismatch:
-    """The key came before with another request."""
+    """Report that the key was already used with a different request."""
 
 
 @frozen
 class Unverifiable:
-    """Too few members answered, or too few remember."""
+    """Report that too few members answered, or too few have their records."""
 
 
 Verdict = (
@@ -80,24 +80,24 @@
 def decide_start(
     replies: Sequence[KeyRecorded], size: int, attempt: str, fingerprint: str
 ) -> Verdict:
-    """Tell what a group's replies to a start mean.
+    """Return the verdict on a group's replies to a start.
 
-    A copied record is no vote: the member that made it may have voted for another
-    attempt before it lost its memory.
+    A copied record is no vote: the member that copied it may have voted for another
+    attempt before it lost its records.
     """
-    fact = _fact(replies, fingerprint)
-    if fact is not None:
-        return fact
+    conclusive = _conclusive_verdict(replies, fingerprint)
+    if conclusive is not None:
+        return conclusive
     votes = [
         reply
         for reply in replies
-        if _is(reply, KeyState.STARTED)
+        if _has_state(reply, KeyState.STARTED)
         and reply.attempt == attempt
         and reply.reason != COPIED
     ]
     if len(votes) >= majority(size):
         return Started()
-    return _obstacle(replies, attempt)
+    return _blocking_verdict(replies, attempt)
 
 
 def decide_fence(
@@ -106,15 +106,16 @@
     ballot: tuple[int, str],
     fingerprint: str,
 ) -> Verdict:
-    """Tell what the replies of all data centres' groups to a fence mean.
+    """Return the verdict on the replies of all data centres' groups to a fence.
 
-    A majority fenced is enough, also where a start is seen beside it: that start can't
-    have a majority any more, so that its attempt was not and will not be sent.
+    A majority that set the fence is enough, even if another member reports a start:
+    that start can't reach a majority any more, so its attempt was not and will not be
+    sent.
     """
-    everything = [reply for rows in replies.values() for reply in rows]
-    fact = _fact(everything, fingerprint)
-    if fact is not None:
-        return fact
+    all_replies = [reply for rows in replies.values() for reply in rows]
+    conclusive = _conclusive_verdict(all_replies, fingerprint)
+    if conclusive is not None:
+        return conclusive
     verdicts = [
         _centre_verdict(replies.get(centre, ()), size, ballot)
         for centre, size in sizes.items()
@@ -132,41 +133,43 @@
     fenced = [
         reply
         for reply in replies
-        if _is(reply, KeyState.FENCED) and (reply.fence, reply.attempt) == ballot
+        if _has_state(reply, KeyState.FENCED) and (reply.fence, reply.attempt) == ballot
     ]
     if size and len(fenced) >= majority(size):
         return Fenced()
-    return _obstacle(replies, ballot[1])
+    return _blocking_verdict(replies, ballot[1])
 
 
-def _fact(replies: Sequence[KeyRecorded], fingerprint: str) -> Verdict | None:
+def _conclusive_verdict(
+    replies: Sequence[KeyRecorded], fingerprint: str
+) -> Verdict | None:
     run = (KeyState.STARTED, KeyState.UNKNOWN, KeyState.FINISHED)
     for reply in replies:
-        known = any(_is(reply, state) for state in run) and reply.fingerprint
+        known = any(_has_state(reply, state) for state in run) and reply.fingerprint
         if known and reply.fingerprint != fingerprint:
             return Mismatch()
     for reply in replies:
-        if _is(reply, KeyState.FINISHED):
+        if _has_state(reply, KeyState.FINISHED):
             return Finished(reply)
-    if any(_is(reply, KeyState.UNKNOWN) for reply in replies):
+    if any(_has_state(reply, KeyState.UNKNOWN) for reply in replies):
         return Unknown()
     return None
 
 
-def _obstacle(replies: Sequence[KeyRecorded], attempt: str) -> Verdict:
-    others = [
+def _blocking_verdict(replies: Sequence[KeyRecorded], attempt: str) -> Verdict:
+    other_starts = [
         reply
         for reply in replies
-        if _is(reply, KeyState.STARTED) and reply.attempt != attempt
+        if _has_state(reply, KeyState.STARTED) and reply.attempt != attempt
     ]
-    if any(reply.reason == LONG_AGO for reply in others):
+    if any(reply.reason == LONG_AGO for reply in other_starts):
         return Unknown()
-    if others:
+    if other_starts:
         return InProgress()
     fences = [
         reply.fence
         for reply in replies
-        if _is(reply, KeyState.FENCED) and reply.attempt != attempt
+        if _has_state(reply, KeyState.FENCED) and reply.attempt != attempt
     ]
     if fences:
         return Superseded(max(fences))
@@ -175,5 +178,5 @@
     return Unverifiable()
 
 
-def _is(reply: KeyRecorded, state: KeyState) -> bool:
+def _has_state(reply: KeyRecorded, state: KeyState) -> bool:
     return reply.state == state.value
--- a/packages/fulmarroad/src/fulmarroad/_messages.py
+++ b/packages/fulmarroad/src/fulmarroad/_messages.py
@@ -1,7 +1,7 @@
 """Typed messages between routers.
 
 Times inside a message are durations in seconds or readings of the clock of the
-router that is named in the field's comment; no two routers compare clocks.
+router that is named in the field's comment; clocks of two routers are never compared.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @frozen
 class ServerHint:
-    """Tell a new scheduler what the former one last said of a backend server."""
+    """Report to a new scheduler a backend server's last status from the former one."""
 
     server: ServerName
     limit: int
@@ -35,7 +35,7 @@
 
 @frozen
 class RunningLease:
-    """Tell a new scheduler of a request that already runs."""
+    """Report to a new scheduler a request that is already running."""
 
     lease_id: str
     demand_id: str
@@ -50,12 +50,12 @@
 class Demand:
     """Ask a shard's scheduler for a lease.
 
-    `weight` is the workspace's, `cost_hint` a rough guess in service units that
-    is charged at the grant and corrected at the end, `prefix` the hashes of
-    the prompt's leading blocks from short to long, `waited_s` the time since the
-    caller's request arrived, `remaining_s` the time to its deadline. `repeatable`
-    false marks a call that is never sent twice; `avoid` lists backend servers that
-    already failed this request.
+    `weight` is the workspace's weight. `cost_hint` is a rough estimate in service
+    units that is charged at the grant and corrected at the end. `prefix` holds the
+    hashes of the prompt's leading blocks, from short to long. `waited_s` is the time
+    since the caller's request arrived, `remaining_s` the time to its deadline.
+    `repeatable` is false for a call that is never sent twice. `avoid` lists backend
+    servers that already failed this request.
     """
 
     shard: ShardId
@@ -73,7 +73,7 @@
 
 @frozen
 class Hello:
-    """Begin to follow a scheduler; waiting demands and running leases come along."""
+    """Start following a scheduler; include waiting demands and running leases."""
 
     shard: ShardId
     router: RouterName
@@ -83,12 +83,12 @@
     demands: tuple[Demand, ...] = ()
     leases: tuple[RunningLease, ...] = ()
     hints: tuple[ServerHint, ...] = ()
-    handed_over: bool = False  # the former scheduler stepped down in good order
+    handed_over: bool = False  # the former scheduler stepped down cleanly
 
 
 @frozen
 class Lend:
-    """Renew the lending of the sender's units; answers a scheduler's heartbeat."""
+    """Renew the lending of the sender's units, in answer to a scheduler's heartbeat."""
 
     shard: ShardId
     epoch: Epoch
@@ -98,7 +98,7 @@
 
 @frozen
 class Withdraw:
-    """Take a waiting demand back, for its caller left or its deadline passed."""
+    """Withdraw a waiting demand whose caller left or whose deadline passed."""
 
     shard: ShardId
     demand_id: str
@@ -114,10 +114,11 @@
 
 @frozen
 class ServiceUsed:
-    """Give the service that one running lease used since the last report.
+    """Report the service that one running lease used since the last report.
 
-    Once, when an answer has got far enough to judge its server by, the time to its
-    first byte and the mean time between chunks come along, in seconds.
+    `first_s` and `gap_s` are the time to the answer's first byte and the mean time
+    between chunks, in seconds. They are sent once, when enough of the answer has
+    arrived to judge its server by.
     """
 
     lease_id: str
@@ -140,7 +141,7 @@
 
     `service` is the whole cost of the request in service units, which replaces
     what was charged so far. `first_s` and `gap_s` are the time to the first byte of the
-    answer and the mean time between chunks, in seconds, where they were seen.
+    answer and the mean time between chunks, in seconds, if they were measured.
     """
 
     shard: ShardId
@@ -150,12 +151,12 @@
     first_s: float | None = None
     gap_s: float | None = None
     total_s: float = 0.0
-    cached_prefix: int = 0  # leading blocks that the engine said it had cached
+    cached_prefix: int = 0  # leading blocks that the engine reported as cached
 
 
 @frozen
 class Goodbye:
-    """Stop following a scheduler; nothing of the sender waits or runs there."""
+    """Stop following a scheduler that has no demand or lease of the sender."""
 
     shard: ShardId
     router: RouterName
@@ -163,7 +164,7 @@
 
 @frozen
 class Welcome:
-    """Answer a hello with the epoch under which grants will come."""
+    """Answer a `Hello` with the epoch of the grants that will follow."""
 
     shard: ShardId
     epoch: Epoch
@@ -181,13 +182,13 @@
     lease_id: str
     demand_id: str
     unit: Unit
-    echo: float  # the clock of the router that gets the grant, as last heard
+    echo: float  # last known clock of the router that receives the grant
     start_within_s: float
 
 
 @frozen
 class Move:
-    """Hand a waiting demand back to its router, to be asked of another shard."""
+    """Return a waiting demand to its router, which then asks another shard."""
 
     shard: ShardId
     epoch: Epoch
@@ -197,7 +198,7 @@
 
 @frozen
 class Refuse:
-    """Turn a waiting demand away at once; it was not run."""
+    """Refuse a waiting demand at once; its request was not run."""
 
     shard: ShardId
     epoch: Epoch
@@ -211,7 +212,7 @@
     """Describe a backend server as its scheduler sees it now.
 
     `informed` is false while the scheduler has neither seen an answer of the server nor
-    heard from its predecessor, so that its word is no hint for a successor.
+    received its predecessor's status; a successor must not use this status as a hint.
     """
 
     server: ServerName
@@ -224,20 +225,20 @@
 
 @frozen
 class Heartbeat:
-    """Show that a scheduler lives, and how its shard stands."""
+    """Announce that a scheduler is alive, with the state of its shard."""
 
     shard: ShardId
     epoch: Epoch
     clock: float  # the scheduler's clock, echoed by `Lend`
     servers: tuple[ServerStatus, ...] = ()
     waiting: int = 0
-    wait_s: float = 0.0  # the wait that a new demand would meet, estimated
+    wait_s: float = 0.0  # estimated wait of a new demand
     settled: bool = True
 
 
 @frozen
 class StepDown:
-    """Give the role up in good order; followers turn to the next scheduler."""
+    """Give up the scheduler role cleanly; followers switch to the next scheduler."""
 
     shard: ShardId
     epoch: Epoch
@@ -245,11 +246,11 @@
 
 @frozen
 class ServiceEntry:
-    """Give the service of one backlogged workspace at one scheduler.
+    """Report the service of one backlogged workspace at one scheduler.
 
-    `served` is cumulative over the epoch and weighted, so that a report that
-    arrives twice or late adds nothing; `lag` is the workspace's counter above the
-    least active one, which seeds a scheduler that did not know the workspace.
+    `served` is cumulative over the epoch and weighted, so that a duplicate or late
+    report adds nothing. `lag` is the workspace's counter minus the lowest active one;
+    a scheduler that did not know the workspace initialises its counter from it.
     """
 
     workspace: WorkspaceName
@@ -260,7 +261,7 @@
 
 @frozen
 class ServiceReport:
-    """Spread a scheduler's service totals to the pool's other schedulers."""
+    """Send a scheduler's service totals to the pool's other schedulers."""
 
     shard: ShardId
     epoch: Epoch
@@ -273,7 +274,7 @@
 
 @frozen
 class TablesWanted:
-    """Ask a peer for the tables that it has in force, without the parts known."""
+    """Ask a peer for its tables in force, without the parts that the asker holds."""
 
     above: int
     known: tuple[str, ...] = ()  # SHA-256 of the parts that the asker holds
@@ -281,7 +282,7 @@
 
 @frozen
 class TablesGiven:
-    """Give the manifest in force and the parts asked for; empty if not newer."""
+    """Return the manifest in force and the requested parts; empty if not newer."""
 
     version: int
     manifest: bytes = b""
@@ -290,9 +291,9 @@
 
 @frozen
 class KeyRecorded:
-    """Describe a key's record as a group member holds it."""
+    """Describe a key's record at a group member."""
 
-    state: str = "absent"  # absent, started, finished, fenced, unable
+    state: str = "absent"  # a value of `KeyState`
     attempt: str = ""
     fence: int = 0
     status: int = 0
@@ -306,7 +307,7 @@
 class KeyStart:
     """Ask a group member to record that an attempt is about to be sent.
 
-    `group` is the key's group as the asker's VM list gives it.
+    `group` is the key's group according to the asker's VM list.
     """
 
     workspace: WorkspaceName
@@ -336,7 +337,7 @@
 class KeyFinish:
     """Store an attempt's outcome at a group member.
 
-    `whole` is false if the answer was too long to be kept for a repeat.
+    `whole` is false if the answer was too long to be stored for a repeat.
     """
 
     workspace: WorkspaceName
@@ -352,9 +353,9 @@
 
 @frozen
 class KeyCopyWanted:
-    """Ask a group member for the records that it shares with the asker, by page.
+    """Ask a group member for a page of the records of groups shared with the asker.
 
-    `vms` are the data centre's VMs as the asker's list gives them.
+    `vms` are the data centre's VMs according to the asker's list.
     """
 
     data_centre: DataCentreName
@@ -366,7 +367,7 @@
 
 @frozen
 class KeyEntry:
-    """Carry one record of a copy."""
+    """Hold one record of a copy and its age."""
 
     workspace: WorkspaceName
     key: str
@@ -376,9 +377,9 @@
 
 @frozen
 class KeyCopyGiven:
-    """Give one page of records; `ready` is false while the giver has no memory.
+    """Return one page of records; `ready` is false while the sender may miss some.
 
-    `basis` is the VM list by which the giver knows every key of its groups.
+    `basis` is the VM list for which the sender knows every key of its groups.
     """
 
     ready: bool
@@ -390,7 +391,7 @@
 
 @frozen
 class MemberUpdate:
-    """Spread what is believed of one VM."""
+    """Report the believed state of one VM."""
 
     router: RouterName
     incarnation: int
@@ -403,7 +404,7 @@
 
 @frozen
 class Ping:
-    """Probe a member; `table_version` rides along."""
+    """Probe a member; `table_version` is the version of the sender's tables."""
 
     sequence: int
     sender: RouterName
@@ -426,7 +427,7 @@
 
 @frozen
 class Ack:
-    """Answer a probe, for oneself or for the target of a ping request."""
+    """Answer a probe, for the sender itself or for the target of a ping request."""
 
     sequence: int
     sender: RouterName
@@ -438,7 +439,7 @@
 
 @frozen
 class MembersWanted:
-    """Ask a member for a page of what it believes, by name after `after`."""
+    """Ask a member for a page of its member list, of names sorted after `after`."""
 
     sequence: int
     sender: RouterName
@@ -449,7 +450,7 @@
 
 @frozen
 class MembersGiven:
-    """Give a page of members that are not dead; `last` is where the next one starts."""
+    """Return a page of members that are not dead; the next one starts after `last`."""
 
     sequence: int
     sender: RouterName
--- a/packages/fulmarroad/src/fulmarroad/_questions.py
+++ b/packages/fulmarroad/src/fulmarroad/_questions.py
@@ -1,4 +1,4 @@
-"""Single questions to peers, over a few connections that are kept."""
+"""Single requests to peers, over a bounded set of open connections."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from fulmarroad.exceptions import TransportError
 from fulmarroad.types import RouterName
 
-KEPT_CHANNELS = 16
-"""Connections kept for questions; the least lately used one is closed above this.
+MAX_OPEN_CHANNELS = 16
+"""Open connections for requests; the least recently used one is closed above this.
 
-A router asks its key group, a few peers for tables and no others, so that the number
-needn't grow with the fleet.
+A router sends requests only to its key groups, and to a few peers for tables, so that
+the number needn't grow with the fleet.
 """
 
 
 @frozen
 class PeerAddress:
-    """Hold where a peer listens."""
+    """Hold the host and port on which a peer listens."""
 
     host: str
     port: int
 
 
 class PeerClient:
-    """Own the connections for questions."""
+    """Send single requests to peers and own the connections for them."""
 
     def __init__(
         self,
@@ -51,14 +51,14 @@
         )
 
     async def ask(
-        self, peer: RouterName, question: Any, cls: type, timeout_s: float
+        self, peer: RouterName, message: Any, cls: type, timeout_s: float
     ) -> Any:
-        """Return a peer's answer; raise `TransportError` if none comes in time."""
+        """Return a peer's reply; raise `TransportError` if none arrives in time."""
         address = self._addresses().get(peer)
         if address is None:
-            raise TransportError(f"No address of router {peer} is known.")
+            raise TransportError(f"The address of router {peer} is unknown.")
         channel = await self._channel(peer, address)
-        return await channel.ask(question, cls, timeout_s)
+        return await channel.ask(message, cls, timeout_s)
 
     async def close(self) -> None:
         """Close every connection."""
@@ -82,7 +82,7 @@
             )
             self._channels[key] = channel
         self._channels.move_to_end(key)
-        if len(self._channels) > KEPT_CHANNELS:
-            _, oldest = self._channels.popitem(last=False)
-            await oldest.close()
+        if len(self._channels) > MAX_OPEN_CHANNELS:
+            _, least_recent = self._channels.popitem(last=False)
+            await least_recent.close()
         return channel
--- a/packages/fulmarroad/src/fulmarroad/keys.py
+++ b/packages/fulmarroad/src/fulmarroad/keys.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated: at most once for each key across the fleet."""
+"""At-most-once calls: each key runs at most once across the fleet."""
 
 from fulmarroad._keygroup import (
     AskMember,
--- a/packages/fulmarroad/src/fulmarroad/messages.py
+++ b/packages/fulmarroad/src/fulmarroad/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers, and the codec that carries them."""
+"""Messages between routers and their codec."""
 
 from fulmarroad._codec import MAX_MESSAGE_BYTES, decode, decode_one, encode
 from fulmarroad._messages import (
--- a/packages/fulmarroad/src/fulmarroad/transport.py
+++ b/packages/fulmarroad/src/fulmarroad/transport.py
@@ -1,4 +1,4 @@
-"""The transport between routers."""
+"""Transport of messages between routers."""
 
 from fulmarroad._grpc import (
     Outbox,
--- a/packages/fulmarroad/tests/test_transport.py
+++ b/packages/fulmarroad/tests/test_transport.py
@@ -145,7 +145,7 @@
     async def test_answer_of_another_type_is_an_error(self):
         async with anyio.create_task_group() as group:
             line = channel(await serve(group, Peer()))
-            with pytest.raises(TransportError, match="nonsense"):
+            with pytest.raises(TransportError, match="invalid reply"):
                 await line.ask(m.TablesWanted(7), m.KeyRecorded, 5.0)
             await line.close()
             group.cancel_scope.cancel()
