--- a/packages/fulmarroad/src/fulmarroad/_keygroup.py
+++ b/packages/fulmarroad/src/fulmarroad/_keygroup.py
@@ -40,7 +40,10 @@
 logger = logging.getLogger("fulmarroad.keys")
 
 ASK_TIMEOUT_S = 1.0
-"""Time limit for a group's replies: hundreds of round trips, yet short for a call."""
+"""Time limit for a group's replies.
+
+It allows for hundreds of round trips and is short compared with a call.
+"""
 
 MAX_SEND_DELAY_S = 60.0
 """Time from its verdict within which an attempt must begin to be sent, in seconds.
--- a/packages/fulmarroad/tests/test_keys.py
+++ b/packages/fulmarroad/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""A call with a key runs at most once, whatever is lost, late, double or restarted."""
+"""At-most-once execution of keyed calls under loss, delay, duplicates and restarts."""
 
 import logging
 import random
@@ -64,33 +64,35 @@
             ([reply("fenced", "x", 0, fingerprint="other")], keys.Unverifiable()),
         ],
     )
-    def test_verdict(self, replies, verdict):
+    def test_start_verdict_follows_from_replies(self, replies, verdict):
         assert keys.decide_start(replies, 3, "x", "f") == verdict
 
 
 class TestDecideFence:
-    MINE = reply("fenced", "y", 10)
-    SEEN = reply("started", "x")
+    OWN_FENCE = reply("fenced", "y", 10)
+    OTHER_START = reply("started", "x")
 
     @pytest.mark.parametrize(
-        ("here", "there", "verdict"),
+        ("own_centre", "other_centre", "verdict"),
         [
-            ([MINE] * 2, [MINE] * 2, keys.Fenced()),
-            ([MINE] * 2, [MINE], keys.Unverifiable()),
-            ([MINE] * 3, [], keys.Unverifiable()),
-            ([MINE] * 2, [SEEN, MINE], keys.InProgress()),
-            ([MINE] * 2, [SEEN, MINE, MINE], keys.Fenced()),
-            ([MINE] * 2, [reply("started", reason="long_ago")], keys.Unknown()),
-            ([MINE] * 2, [reply("fenced", "z", 11)] * 2, keys.Superseded(11)),
-            ([MINE] * 2, [reply("fenced", "z", 10)] * 2, keys.Superseded(10)),
+            ([OWN_FENCE] * 2, [OWN_FENCE] * 2, keys.Fenced()),
+            ([OWN_FENCE] * 2, [OWN_FENCE], keys.Unverifiable()),
+            ([OWN_FENCE] * 3, [], keys.Unverifiable()),
+            ([OWN_FENCE] * 2, [OTHER_START, OWN_FENCE], keys.InProgress()),
+            ([OWN_FENCE] * 2, [OTHER_START, OWN_FENCE, OWN_FENCE], keys.Fenced()),
+            ([OWN_FENCE] * 2, [reply("started", reason="long_ago")], keys.Unknown()),
+            ([OWN_FENCE] * 2, [reply("fenced", "z", 11)] * 2, keys.Superseded(11)),
+            ([OWN_FENCE] * 2, [reply("fenced", "z", 10)] * 2, keys.Superseded(10)),
         ],
     )
-    def test_verdict(self, here, there, verdict):
-        replies = {"fes-1": here, "fes-2": there}
+    def test_fence_verdict_follows_from_replies(
+        self, own_centre, other_centre, verdict
+    ):
+        replies = {"fes-1": own_centre, "fes-2": other_centre}
         sizes = {"fes-1": 3, "fes-2": 3}
         assert keys.decide_fence(replies, sizes, (10, "y"), "f") == verdict
 
-    def test_an_outcome_anywhere_ends_it(self):
+    def test_a_finished_outcome_at_any_member_is_returned(self):
         done = reply("finished", fingerprint="f")
         verdict = keys.decide_fence({"fes-1": [done]}, {"fes-1": 3}, (10, "y"), "f")
         assert verdict == keys.Finished(done)
@@ -112,8 +114,8 @@
         member.finish(finish(), 0.0)
         assert member.start(start(), 0.0).body == b"posted"
 
-    def test_an_attempt_given_up_frees_its_key_for_a_repeat(self):
-        # No backend server could be reached, and no byte was sent.
+    def test_an_attempt_given_up_releases_its_key_for_a_repeat(self):
+        # No backend server was reachable, so no byte of the attempt was sent.
         member = store()
         member.start(start(), 0.0)
         member.finish(finish(outcome="not_run"), 0.0)
@@ -126,19 +128,19 @@
         assert member.fence(fence(), 599.0).state == "started"
         assert member.fence(fence(), 600.0).state == "fenced"
 
-    def test_a_start_without_an_end_turns_unknown(self):
+    def test_a_start_without_an_outcome_becomes_unknown(self):
         member = store(limits=keys.KeyLimits(retention_s=3600.0))
         member.start(start(), 0.0)
         assert member.fence(fence(), 899.0).reason == ""
         assert member.fence(fence(), 900.0).reason == "long_ago"
 
     def test_a_full_workspace_is_refused_and_others_are_not(self):
-        # One workspace sends a new key with each call. No live record is dropped for
-        # it, and other workspaces still get room.
+        # One workspace sends a new key with each call. It must not evict live records
+        # or use up the capacity of other workspaces.
         member = store(limits=keys.KeyLimits(600.0, 100, 100))
-        told = [member.start(start(f"k{n}"), 0.0) for n in range(200)]
-        assert [row.state for row in told].count("started") == 75
-        assert told[-1].reason == "full"
+        replies = [member.start(start(f"k{n}"), 0.0) for n in range(200)]
+        assert [row.state for row in replies].count("started") == 75
+        assert replies[-1].reason == "full"
         assert member.start(start("k0"), 0.0).state == "started"
         other = [member.start(start(f"k{n}", workspace="w"), 0.0) for n in range(30)]
         assert [row.state for row in other].count("started") == 25
@@ -146,61 +148,66 @@
 
     def test_a_workspace_holds_no_more_than_its_own_limit(self):
         member = store(limits=keys.KeyLimits(600.0, 10, 100))
-        told = [member.start(start(f"k{n}"), 0.0) for n in range(20)]
-        assert [row.state for row in told].count("started") == 10
+        replies = [member.start(start(f"k{n}"), 0.0) for n in range(20)]
+        assert [row.state for row in replies].count("started") == 10
 
-    def test_answers_are_bounded_and_their_status_stays(self):
+    def test_stored_answers_are_bounded_and_their_status_is_kept(self):
         limits = keys.KeyLimits(600.0, bodies_bytes=8000)
         member = store(limits=limits)
-        told = [member.finish(finish(f"k{n}", body=b"x" * 400), 0.0) for n in range(3)]
-        assert [row.reason for row in told] == ["", "", "body_not_kept"]
-        assert told[2].status == 201
+        replies = [
+            member.finish(finish(f"k{n}", body=b"x" * 400), 0.0) for n in range(3)
+        ]
+        assert [row.reason for row in replies] == ["", "", "body_not_kept"]
+        assert replies[2].status == 201
         other = member.finish(finish("k", body=b"x" * 400, workspace="w"), 0.0)
         assert other.body == b"x" * 400
 
     @pytest.mark.parametrize("group", [("a", "b", "d"), ()])
-    def test_refuses_an_asker_with_another_group(self, group):
-        # The VM list lags at one of the two.
+    def test_refuses_a_request_for_a_different_group(self, group):
+        # The sender and the member use different versions of the VM list.
         assert store().start(start(group=group), 0.0).reason == "other_group"
 
 
-def copy(giver, taker, vms=VMS, me="a", page_size=1):
+def copy_records(source, target, vms=VMS, asker="a", page_size=1):
     after = ""
     while True:
-        asked = messages.KeyCopyWanted("fes-1", after, page_size, me, tuple(vms))
-        given = giver.serve_copy(asked, 1.0)
-        taker.merge_copy(giver._me, vms, given, 1.0)
-        if not given.more:
+        asked = messages.KeyCopyWanted("fes-1", after, page_size, asker, tuple(vms))
+        page = source.serve_copy(asked, 1.0)
+        target.merge_copy(source._me, vms, page, 1.0)
+        if not page.more:
             return
-        after = given.last
+        after = page.last
 
 
-class TestMemory:
-    def test_a_restarted_member_votes_once_both_others_gave_their_records(self):
-        # A VM is replaced under its name. The record of a call that runs may be at
-        # only one of the other two.
+class TestVotingEligibility:
+    def test_a_restarted_member_votes_after_copying_records_of_both_others(self):
+        # A VM is replaced by one of the same name, without its records. The record of a
+        # running call may be at only one of the other two members.
         others = [store("b"), store("c")]
         others[1].start(start(), 0.0)
         others[0].start(start("l"), 0.0)
-        new = store(first_fleet=False)
-        assert new.fence(fence(), 1.0).reason == "no_memory"
-        copy(others[0], new)
-        assert new.fence(fence(), 1.0).reason == "no_memory"
-        copy(others[1], new)
-        assert new.fence(fence(), 1.0).state == "started"
-        assert new.start(start(), 1.0).reason == "copied"
-        assert new.missing_copies(1.0) == []
+        restarted = store(first_fleet=False)
+        assert restarted.fence(fence(), 1.0).reason == "no_memory"
+        copy_records(others[0], restarted)
+        assert restarted.fence(fence(), 1.0).reason == "no_memory"
+        copy_records(others[1], restarted)
+        assert restarted.fence(fence(), 1.0).state == "started"
+        assert restarted.start(start(), 1.0).reason == "copied"
+        assert restarted.missing_copies(1.0) == []
 
     def test_two_restarted_members_wait_for_the_retention_time(self):
-        # Two of three VMs are replaced at once; a start that only they knew is gone.
-        new, also_new = store(first_fleet=False), store("b", first_fleet=False)
-        copy(store("c"), new)
-        copy(also_new, new)
-        assert new.fence(fence(), 599.0).reason == "no_memory"
-        assert new.fence(fence(), 600.0).state == "fenced"
-
-    def test_a_member_new_to_a_group_learns_before_it_votes(self):
-        # A VM goes, another takes its place in the group, and lists change one by one.
+        # Two of three VMs are replaced at once, which loses starts that only they knew.
+        restarted, also_restarted = (
+            store(first_fleet=False),
+            store("b", first_fleet=False),
+        )
+        copy_records(store("c"), restarted)
+        copy_records(also_restarted, restarted)
+        assert restarted.fence(fence(), 599.0).reason == "no_memory"
+        assert restarted.fence(fence(), 600.0).state == "fenced"
+
+    def test_a_new_group_member_copies_records_before_it_votes(self):
+        # One VM replaces another in the group; members adopt the new list one by one.
         key = next(
             f"k{n}"
             for n in count()
@@ -214,28 +221,28 @@
             members[name].set_vms(after, 1.0)
         assert members["b"].ready("coop", key, 1.0)
         assert not members["d"].ready("coop", key, 1.0)
-        copy(members["b"], members["d"], after, "d")
-        copy(members["a"], members["d"], after, "d")
+        copy_records(members["b"], members["d"], after, "d")
+        copy_records(members["a"], members["d"], after, "d")
         assert not members["d"].ready("coop", key, 1.0)
         members["a"].set_vms(after, 1.0)
-        copy(members["a"], members["d"], after, "d")
+        copy_records(members["a"], members["d"], after, "d")
         assert members["d"].fence(fence(key, group=group), 1.0).state == "started"
 
     @pytest.mark.parametrize("after", ["a", "ade", "ad"])
-    def test_a_group_that_lost_a_majority_at_once_does_not_vote(self, after):
-        # Two VMs of a group vanish from the list together, with all that they knew.
+    def test_a_group_that_loses_a_majority_at_once_does_not_vote(self, after):
+        # Two VMs of a group leave the list together, and their records are lost.
         members = {name: store(name, VMS) for name in VMS}
         members |= {name: store(name, "de", first_fleet=False) for name in "de"}
         for name in after:
             members[name].set_vms(after, 1.0)
         for name in after:
             for other in set(after) - {name}:
-                copy(members[other], members[name], after, name)
+                copy_records(members[other], members[name], after, name)
         ready = [name for name in after if members[name].ready("coop", "k", 1.0)]
         assert len(ready) < len(after) // 2 + 1
 
-    def test_a_member_that_was_out_of_a_group_has_to_learn_again(self):
-        # A VM falls out of the list by a fault of the platform and comes back.
+    def test_a_member_that_rejoins_a_group_must_copy_records_again(self):
+        # A platform fault removes a VM from the list and later adds it again.
         key = next(
             f"k{n}" for n in count() if "c" in key_group("coop", f"k{n}", "abcd")
         )
@@ -246,7 +253,7 @@
 
 
 class Fleet:
-    """Two data centres of routers, a hostile network and a service that counts."""
+    """Simulate routers, an unreliable network and a service that counts calls."""
 
     def __init__(self, seed, centres=2, vms=3):
         self.rng = random.Random(seed)
@@ -257,17 +264,17 @@
         self.loss, self.delay, self.duplicates = 0.0, 0.001, 0.0
         self.cut = set()
         self.calls = Counter()
-        self.lives = Counter()
-        self.views = {}
+        self.incarnations = Counter()
+        self.vm_lists = {}
         self.routers = {}
         self.group = None
         for name in self.centre_of:
             self.boot(name, first_fleet=True)
 
     def boot(self, name, first_fleet=False):
-        self.lives[name] += 1
+        self.incarnations[name] += 1
         centre = self.centre_of[name]
-        identity = keys.KeyIdentity(name, self.lives[name], centre)
+        identity = keys.KeyIdentity(name, self.incarnations[name], centre)
         now = anyio.current_time
         member = keys.KeyStore(name, centre, LIMITS, now=now(), first_fleet=first_fleet)
         member.set_vms(self.centres[centre], now())
@@ -276,51 +283,53 @@
         async def ask(peer, message):
             return await self.ask(name, peer, message)
 
-        self.views[name] = {c: list(names) for c, names in self.centres.items()}
+        self.vm_lists[name] = {c: list(names) for c, names in self.centres.items()}
         self.routers[name] = keys.KeyGroups(
-            identity, member, ask, lambda: self.views[name], clocks
+            identity, member, ask, lambda: self.vm_lists[name], clocks
         )
 
-    def replace(self, name, new):
-        """Publish a new VM in the place of another, which goes on with its old list."""
+    def replace(self, name, replacement):
+        """Replace a VM in the published list; it keeps running with its old list."""
         centre = self.centre_of[name]
         if name not in self.centres[centre]:
             return
         self.centres[centre].remove(name)
-        self.centres[centre].append(new)
-        self.centre_of[new] = centre
-        self.boot(new)
+        self.centres[centre].append(replacement)
+        self.centre_of[replacement] = centre
+        self.boot(replacement)
 
     def read_list(self, name):
-        self.views[name] = {c: list(names) for c, names in self.centres.items()}
+        self.vm_lists[name] = {c: list(names) for c, names in self.centres.items()}
 
     async def ask(self, sender, peer, message):
-        await self.travel(sender, peer)
+        await self.transmit(sender, peer)
         answer = self.routers[peer].handle(message)
         if self.rng.random() < self.duplicates:
-            self.group.start_soon(self.again, peer, message)
-        await self.travel(peer, sender)
+            self.group.start_soon(self.redeliver, peer, message)
+        await self.transmit(peer, sender)
         return answer
 
-    async def travel(self, sender, peer):
+    async def transmit(self, sender, peer):
         await anyio.sleep(self.delay * self.rng.random())
         if self.rng.random() < self.loss or {sender, peer} & self.cut:
             await anyio.sleep(3)
             raise TransportError("lost")
 
-    async def again(self, peer, message):
+    async def redeliver(self, peer, message):
         await anyio.sleep(2 * self.rng.random())
         self.routers[peer].handle(message)
 
     async def call(self, name, key, first=False, pause=0.0, end="finish"):
-        """Make one call as a router does; return the decision."""
-        router, life = self.routers[name], self.lives[name]
+        """Make one call as a router does and return the decision."""
+        router, incarnation = self.routers[name], self.incarnations[name]
         decision = await router.begin("coop", key, "f", first)
         if not isinstance(decision, keys.SendOnce):
             return decision
         await anyio.sleep(pause)
         attempt = decision.attempt
-        if self.lives[name] != life or not attempt.may_send(anyio.current_time()):
+        if self.incarnations[name] != incarnation or not attempt.may_send(
+            anyio.current_time()
+        ):
             return decision
         if end == "give_up":
             await router.give_up(attempt)
@@ -348,8 +357,8 @@
         async def test(fleet):
             await fleet.call("r00", "k", first=True)
             for name in fleet.routers:
-                again = await fleet.call(name, "k")
-                assert again == keys.Replay(201, (), b"posted")
+                repeat = await fleet.call(name, "k")
+                assert repeat == keys.Replay(201, (), b"posted")
             assert fleet.calls == {"k": 1}
 
         in_fleet(test)
@@ -362,7 +371,9 @@
             ("give_up", keys.SendOnce),
         ],
     )
-    def test_a_repeat_of_what_did_not_finish(self, end, decision):
+    def test_a_repeat_of_an_unfinished_attempt_is_sent_only_after_give_up(
+        self, end, decision
+    ):
         async def test(fleet):
             await fleet.call("r00", "k", first=True, end=end)
             assert isinstance(await fleet.call("r10", "k"), decision)
@@ -370,9 +381,9 @@
 
         in_fleet(test)
 
-    def test_a_first_attempt_that_wakes_late_stops_at_the_fence(self):
-        # The caller's first request hangs in a paused router, its repeat runs
-        # elsewhere, and then the router wakes.
+    def test_a_delayed_first_attempt_is_refused_by_the_fence(self):
+        # A router is paused with the caller's first request. The repeat runs at another
+        # router, and then the paused one resumes.
         async def test(fleet):
             await fleet.call("r10", "k")
             late = await fleet.call("r00", "k", first=True)
@@ -381,7 +392,7 @@
 
         in_fleet(test)
 
-    def test_a_data_centre_cut_off_serves_first_attempts_and_refuses_repeats(self):
+    def test_an_isolated_data_centre_serves_first_attempts_and_refuses_repeats(self):
         async def test(fleet):
             fleet.cut |= {"r10", "r11", "r12"}
             first = await fleet.call("r00", "k", first=True)
@@ -393,12 +404,12 @@
 
         in_fleet(test)
 
-    def test_one_dead_member_costs_neither_time_nor_calls(self):
+    def test_one_unreachable_member_neither_delays_nor_fails_calls(self):
         async def test(fleet):
             fleet.cut.add("r01")
-            began = anyio.current_time()
+            start_time = anyio.current_time()
             assert isinstance(await fleet.call("r00", "k", end="crash"), keys.SendOnce)
-            assert anyio.current_time() - began < 0.1
+            assert anyio.current_time() - start_time < 0.1
 
         in_fleet(test)
 
@@ -406,24 +417,24 @@
         async def test(fleet):
             await fleet.call("r00", "k", first=True)
             for first in (True, False):
-                told = await fleet.routers["r10"].begin("coop", "k", "other", first)
-                assert isinstance(told, keys.KeyMismatch | keys.SendOnce)
-                assert isinstance(told, keys.KeyMismatch) or first
+                decision = await fleet.routers["r10"].begin("coop", "k", "other", first)
+                assert isinstance(decision, keys.KeyMismatch | keys.SendOnce)
+                assert isinstance(decision, keys.KeyMismatch) or first
 
         in_fleet(test)
 
-    def test_an_answer_too_long_is_replayed_by_its_status(self):
+    def test_only_the_status_of_an_oversized_answer_is_replayed(self):
         async def test(fleet):
             router = fleet.routers["r00"]
             decision = await router.begin("coop", "k", "f", True)
             body = b"x" * (keys.MAX_BODY_BYTES + 1)
             await router.finish(decision.attempt, 201, (), body)
-            again = await fleet.call("r10", "k")
-            assert again == keys.Replay(201, whole=False)
+            repeat = await fleet.call("r10", "k")
+            assert repeat == keys.Replay(201, whole=False)
 
         in_fleet(test)
 
-    def test_a_restarted_router_copies_and_votes_again(self):
+    def test_a_restarted_router_copies_records_and_votes_again(self):
         async def test(fleet):
             await fleet.call("r00", "k", first=True)
             fleet.boot("r01")
@@ -435,7 +446,7 @@
 
         in_fleet(test)
 
-    def test_the_log_tells_of_fences_and_copies_without_the_key(self, caplog):
+    def test_fences_and_copies_are_logged_without_the_key(self, caplog):
         async def test(fleet):
             await fleet.call("r00", "secret-key")
             fleet.boot("r01")
@@ -444,14 +455,14 @@
 
         with caplog.at_level(logging.INFO, "fulmarroad.keys"):
             in_fleet(test)
-        numbers = [record.event for record in caplog.records]
-        assert numbers == [
+        event_numbers = [record.event for record in caplog.records]
+        assert event_numbers == [
             Event.KEY_FENCED.value.number,
             Event.KEYS_COPIED.value.number,
         ]
         assert "secret-key" not in str([vars(record) for record in caplog.records])
 
-    def test_a_caller_that_leaves_frees_its_key(self):
+    def test_a_caller_that_disconnects_releases_its_key(self):
         async def test(fleet):
             fleet.delay = 0.5
             with anyio.move_on_after(0.2) as left:
@@ -482,14 +493,14 @@
 )
 
 
-class TestAnyOrderOfFaults:
-    """Loss, delay, doubles, restarts, cuts and pauses in any order, few keys."""
+class TestRandomFaults:
+    """Loss, delay, duplicates, restarts, cuts and pauses in random order; one key."""
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.lists(STEPS, min_size=4, max_size=24), st.integers(0, 1000))
     def test_no_key_runs_twice(self, steps, seed):
-        # Callers repeat what they got no answer to, at whatever router the balancer
-        # picks, while routers fail around them. A family would get two letters.
+        # Callers repeat unanswered calls at any router while routers fail. A call that
+        # ran twice would take effect twice, such as two letters sent instead of one.
         async def test(fleet):
             first = True
             for step in steps:
@@ -532,8 +543,8 @@
         st.integers(0, 1000),
     )
     def test_no_key_runs_twice_while_vms_are_replaced(self, steps, seed):
-        # VMs of one data centre lose their memory or are replaced, and each router
-        # reads the VM list in its own time.
+        # VMs of one data centre lose their records or are replaced, and each router
+        # reads the new VM list at a different time.
         async def test(fleet):
             first = True
             for index, step in enumerate(steps):
--- a/packages/fulmarroad/tests/test_messages.py
+++ b/packages/fulmarroad/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages survive the codec; nothing else does."""
+"""Encoding and decoding of messages, and rejection of invalid frames."""
 
 import msgpack
 import pytest
@@ -24,13 +24,13 @@
             messages.TablesGiven(3, b"manifest", {"ab": b"\x00\xff"}),
         ],
     )
-    def test_round_trip(self, message):
+    def test_decoded_message_equals_the_encoded_one(self, message):
         [received] = messages.decode(messages.encode(message))
         assert received == message
-        # Text equals a text enum; only the type's own name tells them apart.
+        # A str equals a string enum of the same value; only their repr differs.
         assert repr(received) == repr(message)
 
-    def test_keeps_order(self):
+    def test_keeps_the_order_of_messages(self):
         sent = (
             messages.Started(SHARD, "l1"),
             messages.Progress(SHARD, (messages.ServiceUsed("l1", 4.0),)),
@@ -38,7 +38,7 @@
         assert messages.decode(messages.encode(*sent)) == sent
 
     def test_ignores_fields_of_a_later_release(self):
-        # During a rolling replacement routers of two releases talk to each other.
+        # During a rolling replacement, routers of two releases exchange messages.
         [[tag, payload]] = msgpack.unpackb(
             messages.encode(messages.Started(SHARD, "l1"))
         )
@@ -59,13 +59,13 @@
             b"\x00" * (messages.MAX_MESSAGE_BYTES + 1),
         ],
     )
-    def test_rejects_what_is_no_message(self, frame):
+    def test_rejects_invalid_frames(self, frame):
         with pytest.raises(MessageError):
             messages.decode(frame)
 
     @settings(derandomize=True, max_examples=200)
     @given(st.binary(max_size=200))
-    def test_never_fails_in_another_way(self, frame):
+    def test_raises_only_message_errors(self, frame):
         outcome = None
         try:
             outcome = messages.decode(frame)
--- a/packages/fulmarroad/tests/test_transport.py
+++ b/packages/fulmarroad/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Routers talk over gRPC on loopback, with and without mutual TLS."""
+"""gRPC between routers on loopback, with and without mutual TLS."""
 
 import anyio
 import pytest
@@ -26,19 +26,19 @@
 
 
 class Peer:
-    """Answer a hello with a welcome, and questions with the version asked for."""
+    """Answer a `Hello` with a `Welcome`, and requests with the requested version."""
 
     def __init__(self):
         self.sends = {}
         self.detached = anyio.Event()
-        self.heard = []
+        self.received = []
 
     def on_attached(self, peer, send):
         self.sends[peer] = send
         return 1
 
     def on_message(self, peer, message):
-        self.heard.append((peer, message))
+        self.received.append((peer, message))
         self.sends[peer](m.Welcome(SHARD, EPOCH))
 
     def on_detached(self, peer, handle):
@@ -51,7 +51,7 @@
 def tls_files(authority, *hosts):
     certificate = authority.issue_cert(*hosts)
     return TlsFiles(
-        b"".join(blob.bytes() for blob in certificate.cert_chain_pems),
+        b"".join(pem.bytes() for pem in certificate.cert_chain_pems),
         certificate.private_key_pem.bytes(),
         authority.cert_pem.bytes(),
     )
@@ -62,7 +62,7 @@
     return trustme.CA()
 
 
-async def serve(group, peer, tls=None, cut=lambda peer: False):
+async def start_server(group, peer, tls=None, cut=lambda peer: False):
     server = PeerServer(peer, TrafficCount(), host=HOST, port=0, tls=tls, cut=cut)
     ready = anyio.Event()
     group.start_soon(server.run, ready.set)
@@ -70,90 +70,94 @@
     return server.port
 
 
-def channel(port, tls=None, cut=lambda peer: False):
+def create_channel(port, tls=None, cut=lambda peer: False):
     return PeerChannel(
         "router-a", "router-b", HOST, port, TrafficCount(), tls=tls, cut=cut
     )
 
 
-async def greet(line):
-    """Say hello on a stream; return the first answer."""
+async def send_hello(peer_channel):
+    """Send a `Hello` on a stream and return the first answer."""
     outbox = Outbox(TrafficCount())
     outbox.put(m.Hello(SHARD, "router-a", 1, "fes-1", 0.0))
     answers = []
 
-    def take(message):
+    def on_message(message):
         answers.append(message)
         outbox.close()
 
     with pytest.raises(TransportError):
-        await line.attach(outbox, take, lambda: None)
+        await peer_channel.attach(outbox, on_message, lambda: None)
     return answers
 
 
 @pytest.mark.anyio
 class TestPeers:
     @pytest.mark.parametrize("encrypted", [False, True])
-    async def test_stream_and_question(self, authority, encrypted):
+    async def test_stream_and_request_are_answered(self, authority, encrypted):
         tls = tls_files(authority, HOST) if encrypted else None
         peer = Peer()
         async with anyio.create_task_group() as group:
-            line = channel(await serve(group, peer, tls), tls)
-            assert await greet(line) == [m.Welcome(SHARD, EPOCH)]
-            assert peer.heard[0][0] == "router-a"
-            given = await line.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
-            assert given.version == 7
+            peer_channel = create_channel(await start_server(group, peer, tls), tls)
+            assert await send_hello(peer_channel) == [m.Welcome(SHARD, EPOCH)]
+            assert peer.received[0][0] == "router-a"
+            tables = await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+            assert tables.version == 7
             await peer.detached.wait()
-            await line.close()
+            await peer_channel.close()
             group.cancel_scope.cancel()
 
     async def test_router_of_another_authority_is_refused(self, authority):
-        # Somebody in the platform's network opens a connection to the peer port. What
-        # gets in there could lend units, grant leases and hand out tables.
-        mine = tls_files(authority, HOST)
-        strangers = trustme.CA().issue_cert(HOST)
-        stranger = TlsFiles(
-            strangers.cert_chain_pems[0].bytes(),
-            strangers.private_key_pem.bytes(),
+        # Any host in the platform's network can connect to the peer port. An unknown
+        # peer must not be able to lend units, grant leases or send tables.
+        server_tls = tls_files(authority, HOST)
+        foreign_certificate = trustme.CA().issue_cert(HOST)
+        foreign_tls = TlsFiles(
+            foreign_certificate.cert_chain_pems[0].bytes(),
+            foreign_certificate.private_key_pem.bytes(),
             authority.cert_pem.bytes(),
         )
         async with anyio.create_task_group() as group:
-            line = channel(await serve(group, Peer(), mine), stranger)
+            peer_channel = create_channel(
+                await start_server(group, Peer(), server_tls), foreign_tls
+            )
             with pytest.raises(TransportError):
-                await line.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
-            await line.close()
+                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+            await peer_channel.close()
             group.cancel_scope.cancel()
 
-    async def test_plain_connection_is_refused_where_tls_is_on(self, authority):
+    async def test_plain_connection_is_refused_when_tls_is_enabled(self, authority):
         tls = tls_files(authority, HOST)
         async with anyio.create_task_group() as group:
-            line = channel(await serve(group, Peer(), tls))
+            peer_channel = create_channel(await start_server(group, Peer(), tls))
             with pytest.raises(TransportError):
-                await line.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
-            await line.close()
+                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+            await peer_channel.close()
             group.cancel_scope.cancel()
 
-    async def test_cut_peer_is_not_heard(self):
+    async def test_requests_of_a_cut_peer_are_refused(self):
         async with anyio.create_task_group() as group:
-            port = await serve(group, Peer(), cut=lambda peer: peer == "router-a")
-            line = channel(port)
+            port = await start_server(
+                group, Peer(), cut=lambda peer: peer == "router-a"
+            )
+            peer_channel = create_channel(port)
             with pytest.raises(TransportError):
-                await line.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
-            await line.close()
+                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+            await peer_channel.close()
             group.cancel_scope.cancel()
 
-    async def test_answer_of_another_type_is_an_error(self):
+    async def test_reply_of_another_type_is_an_error(self):
         async with anyio.create_task_group() as group:
-            line = channel(await serve(group, Peer()))
+            peer_channel = create_channel(await start_server(group, Peer()))
             with pytest.raises(TransportError, match="invalid reply"):
-                await line.ask(m.TablesWanted(7), m.KeyRecorded, 5.0)
-            await line.close()
+                await peer_channel.ask(m.TablesWanted(7), m.KeyRecorded, 5.0)
+            await peer_channel.close()
             group.cancel_scope.cancel()
 
 
 @pytest.mark.anyio
 class TestOutbox:
-    async def test_urgent_message_takes_the_patient_ones_along(self):
+    async def test_urgent_message_is_sent_together_with_delayed_ones(self):
         outbox = Outbox(TrafficCount())
         outbox.put(m.Started(SHARD, "l1"))
         outbox.put(m.Withdraw(SHARD, "d1"))
@@ -161,8 +165,8 @@
         frame = await anext(frames)
         assert m.decode(frame) == (m.Started(SHARD, "l1"), m.Withdraw(SHARD, "d1"))
 
-    async def test_peer_that_reads_nothing_is_dropped(self):
-        # A frozen peer's stream stays open; its messages would fill the memory here.
+    async def test_queue_overflow_closes_the_stream(self):
+        # A frozen peer's stream stays open, and its queue would fill the memory.
         outbox = Outbox(TrafficCount())
         for number in range(5000):
             outbox.put(m.Withdraw(SHARD, f"d{number}"))
@@ -170,7 +174,7 @@
         assert [frame async for frame in outbox.frames()] == []
 
 
-class TestNonsense:
-    def test_is_no_message(self):
+class TestDecodeOne:
+    def test_rejects_a_message_of_another_type(self):
         with pytest.raises(MessageError):
             m.decode_one(m.encode(m.Started(SHARD, "l")), m.Withdraw)
