--- a/packages/fulmarroad/src/fulmarroad/_grpc.py
+++ b/packages/fulmarroad/src/fulmarroad/_grpc.py
@@ -73,11 +73,11 @@
     sent: int = 0
     received: int = 0
 
-    def note_sent(self, size: int) -> None:
+    def count_sent(self, size: int) -> None:
         """Add a sent frame of `size` bytes, with its overhead."""
         self.sent += size + FRAME_OVERHEAD_BYTES
 
-    def note_received(self, size: int) -> None:
+    def count_received(self, size: int) -> None:
         """Add a received frame of `size` bytes, with its overhead."""
         self.received += size + FRAME_OVERHEAD_BYTES
 
@@ -159,7 +159,7 @@
                 batch, self._queue = self._queue, []
                 self._urgent = False
                 frame = encode(*batch)
-                self._traffic.note_sent(len(frame))
+                self._traffic.count_sent(len(frame))
                 yield frame
             if self._closed:
                 return
@@ -252,7 +252,7 @@
             async for frame in requests:
                 if self._cut(peer):
                     break
-                self._traffic.note_received(len(frame))
+                self._traffic.count_received(len(frame))
                 for message in decode(frame):
                     self._handler.on_message(peer, message)
         except MessageError as error:
@@ -262,14 +262,14 @@
 
     async def _ask(self, request: bytes, context: grpc.aio.ServicerContext) -> bytes:
         peer = await self._require_peer_name(context)
-        self._traffic.note_received(len(request))
+        self._traffic.count_received(len(request))
         try:
             (message,) = decode(request)
         except (MessageError, ValueError) as error:
             emit(logger, Event.PEER_REJECTED, peer=peer, cause=str(error))
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         answer = encode(await self._handler.on_request(peer, message))
-        self._traffic.note_sent(len(answer))
+        self._traffic.count_sent(len(answer))
         return answer
 
     async def _require_peer_name(self, context: grpc.aio.ServicerContext) -> RouterName:
@@ -316,7 +316,7 @@
         """Return the peer's reply; raise `TransportError` if none arrives in time."""
         self._raise_if_cut()
         request = encode(message)
-        self._traffic.note_sent(len(request))
+        self._traffic.count_sent(len(request))
         try:
             answer = await self._ask(
                 request, timeout=timeout_s, metadata=self._metadata
@@ -325,7 +325,7 @@
             raise TransportError(
                 f"The request to router {self._peer} failed: {error.code().name}."
             ) from error
-        self._traffic.note_received(len(answer))
+        self._traffic.count_received(len(answer))
         try:
             return decode_one(answer, cls)
         except MessageError as error:
@@ -348,7 +348,7 @@
             on_up()
             async for frame in call:
                 self._raise_if_cut()
-                self._traffic.note_received(len(frame))
+                self._traffic.count_received(len(frame))
                 for message in decode(frame):
                     on_message(message)
         except TimeoutError as error:
--- a/packages/fulmarroad/src/fulmarroad/_keys.py
+++ b/packages/fulmarroad/src/fulmarroad/_keys.py
@@ -178,7 +178,10 @@
         return KeyEntry(*name, now - record.changed, record.to_reply())
 
     def _merge_entry(self, entry: KeyEntry, now: float) -> None:
-        """Keep the record that takes precedence: a start at one member may count."""
+        """Keep the record that takes precedence.
+
+        A start recorded by a single other member may be part of a majority.
+        """
         name = (entry.workspace, entry.key)
         state = KeyState(entry.record.state)
         known = self._records.get(name)
@@ -215,7 +218,7 @@
 
 
 def _after_not_run(known: Record | None, attempt: str) -> Record:
-    """Free a key whose attempt was given up before a byte was sent."""
+    """Release a key whose attempt was given up before a byte was sent."""
     if known is None:
         return Record(KeyState.FENCED, "", 1)
     if known.attempt != attempt or known.state is not KeyState.STARTED:
--- a/packages/fulmarroad/src/fulmarroad/_messages.py
+++ b/packages/fulmarroad/src/fulmarroad/_messages.py
@@ -248,9 +248,10 @@
 class ServiceEntry:
     """Report the service of one backlogged workspace at one scheduler.
 
-    `served` is cumulative over the epoch and weighted, so that a duplicate or late
-    report adds nothing. `lag` is the workspace's counter minus the lowest active one;
-    a scheduler that did not know the workspace initialises its counter from it.
+    `served` is cumulative over the epoch and weighted, so that a report that
+    arrives twice or late adds nothing. `lag` is the workspace's counter minus the
+    lowest active one; a scheduler that did not know the workspace initialises its
+    counter from it.
     """
 
     workspace: WorkspaceName
