--- a/packages/fulmarroad-router/src/fulmarroad_router/__init__.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/__init__.py
@@ -1,1 +1,1 @@
-"""The router daemon: every process between callers and backend servers."""
+"""The router daemon, which forwards callers' requests to backend servers."""
--- a/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
@@ -1,4 +1,4 @@
-"""Let calls in at one router, and give up at once those that can't be met."""
+"""Admit calls at one router, and refuse early those that would miss their deadline."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from fulmarroad_router.calls import Call
 from fulmarroad_router.exceptions import Refused
 
-SHED_S = 0.1
-"""Waiting calls are looked over this often; a caller waits no longer for a refusal."""
+SHED_INTERVAL_S = 0.1
+"""Interval of the checks of waiting calls, and so the longest delay of a refusal."""
 
 RUNNING_RETRY_S = 1.0
 
 
 class AdmissionController:
-    """Own what waits and runs at this router, by workspace."""
+    """Track the calls that wait and run at this router, by workspace."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
 
     @property
     def waiting(self) -> int:
-        """Return how many calls wait."""
+        """Return how many calls wait for a lease."""
         return self._admission.waiting
 
     def admit(self, call: Call, demand_id: str, *, first: bool) -> None:
-        """Let a call wait for a lease; raise `Refused` where that is hopeless.
+        """Register a call as waiting for a lease, or raise `Refused`.
 
-        `first` is false for a further try, which earns nothing for the retry budget.
+        `first` is false for a further try, which does not add to the retry budget.
         """
         now = self._clock()
         workspace = call.workspace
@@ -55,16 +55,16 @@
         view = LoadView(
             pool=call.pool.name,
             wait_s=self._coordinator.follower.estimated_wait_s(call.pool.name),
-            servers=self._servers(call),
+            servers=self._count_usable_servers(call),
             remaining_s=call.deadline - now,
         )
         refusal = self._admission.admit(demand_id, workspace, call.route, view, now)
-        self._answer_shed(now)
+        self._refuse_shed_calls(now)
         if refusal is not None:
             raise Refused(refusal.reason, refusal.retry_after_s)
 
     def leave(self, demand_id: str) -> None:
-        """Note that a call waits no more."""
+        """Remove a call from the waiting ones."""
         self._admission.leave(demand_id)
 
     def begin(self, call: Call) -> None:
@@ -78,25 +78,25 @@
             del self._running[call.workspace.name]
 
     def may_retry(self, pool: str) -> bool:
-        """Take one retry from a pool's budget; tell whether there was one."""
+        """Take one retry from a pool's budget; return whether one was available."""
         return self._budget.may_retry(pool, self._clock())
 
     async def run(self) -> None:
-        """Give up waiting calls that turn hopeless, until cancelled."""
+        """Refuse waiting calls that can't be served in time, until cancelled."""
         while True:
-            await anyio.sleep(SHED_S)
+            await anyio.sleep(SHED_INTERVAL_S)
             tables = self._tables()
             for pool in tables.pools if tables else ():
                 wait_s = self._coordinator.follower.estimated_wait_s(pool)
                 self._admission.note_wait(pool, wait_s)
-            self._answer_shed(self._clock())
+            self._refuse_shed_calls(self._clock())
 
-    def _answer_shed(self, now: float) -> None:
+    def _refuse_shed_calls(self, now: float) -> None:
         for demand_id, refusal in self._admission.shed(now):
             rejection = Rejected(demand_id, refusal.reason, refusal.retry_after_s)
             self._coordinator.send_command(GiveUp(rejection))
 
-    def _servers(self, call: Call) -> int:
+    def _count_usable_servers(self, call: Call) -> int:
         tables = self._tables()
         if tables is None:
             return 0
--- a/packages/fulmarroad-router/src/fulmarroad_router/app.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP application, as ASGI."""
+"""The ASGI application that serves callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -48,44 +48,44 @@
 
 
 class RouteLookup(Protocol):
-    """Find workspaces and routes in the tables in force."""
+    """Look up workspaces and routes in the current tables."""
 
     @property
     def tables(self) -> Tables:
-        """Return the tables that the lookup is over."""
+        """Return the tables that are searched."""
 
     def workspace_for_key(self, bearer: str) -> Workspace | None:
-        """Return the workspace that a key belongs to."""
+        """Return the workspace of an API key, or `None` if the key is unknown."""
 
     def route_for(
         self, method: str, path: str, model: str, workspace: str
     ) -> Route | None:
-        """Return the route of a call."""
+        """Return the route that matches a call, or `None`."""
 
 
 class CallRunner(Protocol):
-    """Carry a call to its end."""
+    """Run calls to completion."""
 
     async def run(self, call: Call, responder: Responder) -> None:
-        """Answer the call, or raise `CallError`."""
+        """Send the answer to the responder, or raise `CallError`."""
 
 
 class Gate(Protocol):
-    """Say whether this router takes calls now."""
+    """Track calls in flight and report whether new calls are accepted."""
 
     def refusal(self) -> RefusalReason | None:
-        """Return why no call is taken, or nothing."""
+        """Return why calls are refused, or `None` if they are accepted."""
 
     def enter(self) -> None:
-        """Count a call in."""
+        """Increment the number of calls in flight."""
 
     def leave(self) -> None:
-        """Count a call out."""
+        """Decrement the number of calls in flight."""
 
 
 @define
-class _Stages:
-    """Hold what is known of a request while it is read, for its log line."""
+class _RequestContext:
+    """Hold the fields of a request's log events, filled in as they become known."""
 
     request_id: str
     workspace: str = ""
@@ -93,7 +93,7 @@
 
 
 class CallersApp:
-    """Answer callers' HTTP requests."""
+    """Serve callers' HTTP requests: authenticate, find the route, run the call."""
 
     def __init__(
         self,
@@ -112,39 +112,39 @@
         self._max_body_bytes = max_body_bytes
 
     async def __call__(self, scope: Scope, receive: Receive, send: SendEvent) -> None:
-        """Serve one ASGI scope."""
+        """Serve one ASGI scope; ignore all types but `http`."""
         if scope["type"] != "http":
             return
         arrived = self._clock()
-        stages = _Stages(request_id_of(scope["headers"]))
-        responder = _responder(send, stages.request_id)
+        context = _RequestContext(request_id_of(scope["headers"]))
+        responder = _make_responder(send, context.request_id)
         self._gate.enter()
         try:
-            await self._serve(scope, receive, responder, stages, arrived)
+            await self._serve(scope, receive, responder, context, arrived)
         except CallerDisconnected:
-            self._note_left(stages)
+            self._record_disconnect(context)
         except CallError as error:
-            await self._fail(error, responder, stages)
+            await self._report_error(error, responder, context)
         except Exception as error:
             logger.debug("request failure", exc_info=error)
             emit(
                 logger,
                 Event.REQUEST_FAILED,
-                request_id=stages.request_id,
+                request_id=context.request_id,
                 cause=repr(error),
             )
             failure = CallError("The router failed. The call may have run.")
-            await self._fail(failure, responder, stages)
+            await self._report_error(failure, responder, context)
         finally:
             self._gate.leave()
-            self._note_done(responder, stages, arrived)
+            self._record_completion(responder, context, arrived)
 
     async def _serve(
         self,
         scope: Scope,
         receive: Receive,
         responder: AsgiResponder,
-        stages: _Stages,
+        context: _RequestContext,
         arrived: float,
     ) -> None:
         reason = self._gate.refusal()
@@ -152,9 +152,9 @@
         if reason is not None or lookup is None:
             raise Refused(reason or RefusalReason.NOT_READY, 1.0)
         workspace = self._authenticate(scope["headers"], lookup)
-        stages.workspace = workspace.name
+        context.workspace = workspace.name
         body = await read_body(scope["headers"], receive, self._max_body_bytes)
-        call = self._call(scope, lookup, workspace, body, stages, arrived)
+        call = self._build_call(scope, lookup, workspace, body, context, arrived)
         await run_until_disconnect(
             lambda: self._runner.run(call, responder), receive, responder
         )
@@ -163,16 +163,16 @@
         bearer = bearer_token(headers)
         workspace = lookup.workspace_for_key(bearer) if bearer else None
         if workspace is None:
-            raise Unauthorized("Send a known key as `Authorization: Bearer KEY`.")
+            raise Unauthorized("Send a valid API key as `Authorization: Bearer KEY`.")
         return workspace
 
-    def _call(
+    def _build_call(
         self,
         scope: Scope,
         lookup: RouteLookup,
         workspace: Workspace,
         body: bytes,
-        stages: _Stages,
+        context: _RequestContext,
         arrived: float,
     ) -> Call:
         method, path = scope["method"], scope["path"]
@@ -180,18 +180,22 @@
         chat = parse_chat_body(body) if is_chat else ChatBody()
         route = lookup.route_for(method, path, chat.model, workspace.name)
         if route is None:
-            raise RouteNotFound("No route of the tables takes this call.")
-        stages.route = route.name
+            raise RouteNotFound("No route matches this method, path and model.")
+        context.route = route.name
         if len(body) > route.max_body_bytes:
-            raise BodyTooLarge(f"A body may have {route.max_body_bytes} bytes here.")
+            raise BodyTooLarge(
+                f"The body must not exceed {route.max_body_bytes} bytes on this route."
+            )
         headers = scope["headers"]
         query = scope.get("query_string", b"")
         target = scope.get("raw_path") or path.encode()
         key = header(headers, b"idempotency-key")
         if len(key) > MAX_KEY_LENGTH:
-            raise BadRequest(f"`Idempotency-Key` may have {MAX_KEY_LENGTH} characters.")
+            raise BadRequest(
+                f"`Idempotency-Key` must not exceed {MAX_KEY_LENGTH} characters."
+            )
         return Call(
-            request_id=stages.request_id,
+            request_id=context.request_id,
             workspace=workspace,
             route=route,
             pool=lookup.tables.pools[route.pool],
@@ -205,14 +209,17 @@
             first_attempt=header(headers, b"fulmarroad-first-attempt") == "?1",
         )
 
-    async def _fail(
-        self, error: CallError, responder: AsgiResponder, stages: _Stages
+    async def _report_error(
+        self, error: CallError, responder: AsgiResponder, context: _RequestContext
     ) -> None:
-        """Answer with an error, or break off an answer that has begun."""
+        """Send an error response, or abort an answer that has begun.
+
+        Raises `AnswerBroken` where the answer has begun.
+        """
         fields = {
-            "request_id": stages.request_id,
-            "workspace": stages.workspace,
-            "route": stages.route,
+            "request_id": context.request_id,
+            "workspace": context.workspace,
+            "route": context.route,
             "code": error.code,
         }
         if error.ran is Ran.NOT_RUN:
@@ -222,24 +229,24 @@
             emit(logger, Event.REQUEST_UNKNOWN, **fields)
             self._metrics.incr("unknown")
         if not responder.begun:
-            await responder.error(error, _error_marks(error, stages.request_id))
+            await responder.error(error, _error_headers(error, context.request_id))
             return
         emit(logger, Event.STREAM_BROKEN, **fields)
-        # The server closes the connection without its last chunk on an exception,
-        # so that no caller can take the answer for whole.
+        # On an exception, the HTTP server closes the connection without sending the
+        # last chunk, so that the caller can detect the truncated answer.
         raise AnswerBroken(error.message)
 
-    def _note_left(self, stages: _Stages) -> None:
+    def _record_disconnect(self, context: _RequestContext) -> None:
         self._metrics.incr("caller_left")
         emit(
             logger,
             Event.CALLER_LEFT,
-            request_id=stages.request_id,
-            workspace=stages.workspace,
+            request_id=context.request_id,
+            workspace=context.workspace,
         )
 
-    def _note_done(
-        self, responder: AsgiResponder, stages: _Stages, arrived: float
+    def _record_completion(
+        self, responder: AsgiResponder, context: _RequestContext, arrived: float
     ) -> None:
         seconds = self._clock() - arrived
         self._metrics.timing("request", seconds)
@@ -249,30 +256,30 @@
         emit(
             logger,
             Event.REQUEST_DONE,
-            request_id=stages.request_id,
-            workspace=stages.workspace,
-            route=stages.route,
+            request_id=context.request_id,
+            workspace=context.workspace,
+            route=context.route,
             status=responder.status,
             seconds=round(seconds, 4),
         )
 
 
-def _responder(send: SendEvent, request_id: str) -> AsgiResponder:
-    marks = [_name_mark(request_id), _ran_mark(Ran.RAN)]
-    return AsgiResponder(send, request_id, extra_headers=marks)
+def _make_responder(send: SendEvent, request_id: str) -> AsgiResponder:
+    headers = [_request_id_header(request_id), _ran_header(Ran.RAN)]
+    return AsgiResponder(send, request_id, extra_headers=headers)
 
 
-def _error_marks(error: CallError, request_id: str) -> Headers:
-    marks = [_name_mark(request_id), _ran_mark(error.ran)]
+def _error_headers(error: CallError, request_id: str) -> Headers:
+    headers = [_request_id_header(request_id), _ran_header(error.ran)]
     if error.retry_after_s is not None:
         seconds = max(1, round(error.retry_after_s))
-        marks.append((b"retry-after", str(seconds).encode()))
-    return marks
+        headers.append((b"retry-after", str(seconds).encode()))
+    return headers
 
 
-def _name_mark(request_id: str) -> tuple[bytes, bytes]:
+def _request_id_header(request_id: str) -> tuple[bytes, bytes]:
     return (b"x-request-id", request_id.encode())
 
 
-def _ran_mark(ran: Ran) -> tuple[bytes, bytes]:
+def _ran_header(ran: Ran) -> tuple[bytes, bytes]:
     return (b"fulmarroad-ran", ran.value.encode())
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -1,4 +1,4 @@
-"""What applications for callers need of ASGI: bodies, answers, callers who leave."""
+"""ASGI helpers: read request bodies, send answers, detect disconnected callers."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
         b"upgrade",
     }
 )
-"""Headers of one connection, which never go on to the next."""
+"""Headers that apply to a single connection and are never forwarded."""
 
 
 class CallerDisconnected(Exception):
-    """End the work on a call whose caller is gone."""
+    """Stop the work on a call whose caller has closed its connection."""
 
 
 class AsgiResponder:
-    """Send an answer through ASGI; awaiting `send` waits for a slow caller.
+    """Send an answer through ASGI; `send` blocks while the caller reads slowly.
 
-    `extra_headers` go with every answer of a backend server.
+    `extra_headers` are added to every answer of a backend server.
     """
 
     def __init__(
@@ -53,30 +53,30 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the head of the answer has been sent."""
+        """Return whether the status and headers have been sent."""
         return self._begun
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head of a backend server's answer."""
+        """Send the status and headers of a backend server's answer."""
         await self._start(status, [*headers, *self._extra_headers])
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send one chunk of the body."""
         body = {"type": "http.response.body", "body": chunk, "more_body": True}
         await self._send(body)
 
     async def finish(self, last: bytes = b"") -> None:
-        """End the answer as whole."""
+        """Send the end of a complete answer, with an optional last chunk."""
         self.finished = True
         await self._send({"type": "http.response.body", "body": last})
 
-    async def error(self, error: CallError, marks: Headers) -> None:
-        """Send an error in the one JSON format, with headers that mark it."""
+    async def error(self, error: CallError, extra_headers: Headers) -> None:
+        """Send an error as JSON, with additional headers."""
         body = json.dumps({"error": error_document(error, self._request_id)}).encode()
         headers = [
             (b"content-type", b"application/json"),
             (b"content-length", str(len(body)).encode()),
-            *marks,
+            *extra_headers,
         ]
         if isinstance(error, Unauthorized):
             headers.append((b"www-authenticate", b"Bearer"))
@@ -91,30 +91,36 @@
         await self._send(start)
 
 
-async def read_body(headers: Headers, receive: Receive, most: int) -> bytes:
-    """Return a request's body; raise `BodyTooLarge` or `CallerDisconnected`."""
+async def read_body(headers: Headers, receive: Receive, max_bytes: int) -> bytes:
+    """Return a request's body.
+
+    Raises `BodyTooLarge` above `max_bytes`, and `CallerDisconnected`.
+    """
     length = next((value for name, value in headers if name == b"content-length"), b"")
-    if length and (not length.isdigit() or int(length) > most):
-        raise BodyTooLarge(f"A body may have {most} bytes.")
-    parts = bytearray()
+    if length and (not length.isdigit() or int(length) > max_bytes):
+        raise BodyTooLarge(f"The body must not exceed {max_bytes} bytes.")
+    body = bytearray()
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
             raise CallerDisconnected
-        parts += event.get("body", b"")
-        if len(parts) > most:
-            raise BodyTooLarge(f"A body may have {most} bytes.")
+        body += event.get("body", b"")
+        if len(body) > max_bytes:
+            raise BodyTooLarge(f"The body must not exceed {max_bytes} bytes.")
         if not event.get("more_body", False):
-            return bytes(parts)
+            return bytes(body)
 
 
 async def run_until_disconnect(
     run: Callable[[], Awaitable[None]], receive: Receive, responder: AsgiResponder
 ) -> None:
-    """Run a call; stop it and raise `CallerDisconnected` when its caller leaves."""
+    """Run a call, and cancel it if its caller disconnects before the answer ends.
+
+    Raises `CallerDisconnected` after a cancellation.
+    """
     left = False
 
-    async def watch() -> None:
+    async def watch_for_disconnect() -> None:
         nonlocal left
         while (await receive())["type"] != "http.disconnect":
             pass
@@ -124,7 +130,7 @@
 
     failure: CallError | None = None
     async with anyio.create_task_group() as group:
-        group.start_soon(watch)
+        group.start_soon(watch_for_disconnect)
         try:
             await run()
         except CallError as error:
@@ -137,7 +143,7 @@
 
 
 def error_document(error: CallError, request_id: str) -> dict[str, Any]:
-    """Return the error as callers get it in JSON."""
+    """Return the JSON object that describes an error to callers."""
     return {
         "message": error.message,
         "type": error.kind,
--- a/packages/fulmarroad-router/src/fulmarroad_router/backend.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/backend.py
@@ -1,8 +1,7 @@
 """Calls to backend servers: one connection per running request.
 
-The one question that matters after a failure is whether any byte of the request was
-sent. `FailedBeforeSend` is raised only where none was, since a caller may be told "not
-run" only then.
+Errors distinguish whether any byte of the request was sent. `FailedBeforeSend` is
+raised only if none was, since only then may the caller get the answer "not run".
 """
 
 from __future__ import annotations
@@ -23,16 +22,16 @@
 MAX_CONNECTIONS = 4096
 KEEPALIVE_S = 10.0
 
-_SENDING = {"http11.send_request_headers.started"}
-"""The first event of httpcore after which bytes may be on the wire."""
+_SEND_EVENTS = {"http11.send_request_headers.started"}
+"""First trace event of httpcore after which bytes may have been sent."""
 
 
 class BackendError(FulmarroadError):
-    """Report a call to a backend server that failed."""
+    """Report that a call to a backend server failed."""
 
 
 class FailedBeforeSend(BackendError):
-    """Report that no byte of the request reached the backend server."""
+    """Report a failure before any byte of the request was sent."""
 
 
 class FailedAfterSend(BackendError):
@@ -40,12 +39,12 @@
 
 
 class TimedOutAfterSend(FailedAfterSend):
-    """Report a backend server that was silent for too long."""
+    """Report that a backend server sent nothing for too long."""
 
 
 @frozen
 class BackendRequest:
-    """Hold what goes to the backend server."""
+    """Hold a request for a backend server."""
 
     method: bytes
     target: bytes
@@ -54,7 +53,7 @@
 
 
 class BackendResponse:
-    """Hold an answer whose head has arrived."""
+    """Hold an answer whose status and headers have arrived."""
 
     def __init__(self, response: httpcore.Response, idle_timeout_s: float) -> None:
         self._response = response
@@ -63,28 +62,35 @@
         self.headers: Headers = response.headers
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value, or nothing."""
+        """Return the first value of a header, or an empty byte string."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value
         return b""
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raise `FailedAfterSend` where it breaks off."""
+        """Yield the body; raise `FailedAfterSend` if it is interrupted.
+
+        Raises `TimedOutAfterSend` if the backend server sends nothing for too long.
+        """
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
         except httpcore.TimeoutException as error:
-            raise TimedOutAfterSend("The backend server fell silent.") from error
+            raise TimedOutAfterSend(
+                "The backend server sent no data in time."
+            ) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            raise FailedAfterSend("The backend server broke its answer off.") from error
+            raise FailedAfterSend(
+                "The backend server interrupted its answer."
+            ) from error
 
 
 class BackendCall:
-    """Open one call as an async context; leaving it closes the connection.
+    """Send one request as an async context manager; leaving it closes the answer.
 
-    Leaving before the body's end cancels the work at the backend server, since
-    httpcore then closes the connection and does not keep it.
+    Leaving it before the end of the body cancels the work at the backend server, since
+    httpcore then closes the connection instead of keeping it alive.
     """
 
     def __init__(
@@ -95,7 +101,7 @@
         request: BackendRequest,
     ) -> None:
         self._pool = pool
-        self._table = table
+        self._settings = table
         self._server = server
         self._request = request
         self._response: httpcore.Response | None = None
@@ -109,16 +115,18 @@
                 raise FailedBeforeSend(
                     "The backend server can't be reached."
                 ) from error
-            raise TimedOutAfterSend("The backend server gave no answer.") from error
+            raise TimedOutAfterSend(
+                "The backend server sent no answer in time."
+            ) from error
         except (httpcore.NetworkError, httpcore.ProtocolError, OSError) as error:
             if not self._sent:
                 raise FailedBeforeSend(
                     "The backend server can't be reached."
                 ) from error
             raise FailedAfterSend(
-                "The backend server broke off before its answer."
+                "The connection to the backend server failed before its answer."
             ) from error
-        return BackendResponse(self._response, self._table.idle_timeout_s)
+        return BackendResponse(self._response, self._settings.idle_timeout_s)
 
     async def __aexit__(
         self,
@@ -131,7 +139,7 @@
                 await self._response.aclose()
 
     async def _open(self) -> httpcore.Response:
-        table = self._table
+        table = self._settings
         request = httpcore.Request(
             method=self._request.method,
             url=f"http://{self._server.address}".encode() + self._request.target,
@@ -148,22 +156,22 @@
             },
         )
         response = await self._pool.handle_async_request(request)
-        # httpcore reads the timeout anew for the body, so that a long first byte
-        # and a short idle time can be told apart.
+        # httpcore reads the timeout again for the body, so the wait for the first byte
+        # and the idle time between chunks can have different limits.
         request.extensions["timeout"]["read"] = table.idle_timeout_s
         return response
 
     async def _trace(self, event: str, info: dict[str, Any]) -> None:
-        if event in _SENDING:
+        if event in _SEND_EVENTS:
             self._sent = True
 
 
 class BackendClient:
-    """Open calls to backend servers."""
+    """Send requests to backend servers."""
 
     def __init__(self) -> None:
-        self._kept = _connection_pool(keep=True)
-        self._fresh = _connection_pool(keep=False)
+        self._keepalive_pool = _make_connection_pool(keep_alive=True)
+        self._single_use_pool = _make_connection_pool(keep_alive=False)
 
     def call(
         self,
@@ -173,25 +181,25 @@
         *,
         repeatable: bool,
     ) -> BackendCall:
-        """Return a call to be entered.
+        """Return a call, which is sent when its context is entered.
 
-        A call that may not be repeated gets a fresh connection: a kept one may be
-        closed by the server in the moment it is used, which can't be told from a
-        call that ran.
+        A call that may not be repeated gets a new connection. The server may close a
+        kept-alive one just as the call is sent, and that failure can't be distinguished
+        from a call that ran.
         """
-        pool = self._kept if repeatable else self._fresh
+        pool = self._keepalive_pool if repeatable else self._single_use_pool
         return BackendCall(pool, table, server, request)
 
     async def close(self) -> None:
         """Close every connection."""
-        await self._kept.aclose()
-        await self._fresh.aclose()
+        await self._keepalive_pool.aclose()
+        await self._single_use_pool.aclose()
 
 
-def _connection_pool(*, keep: bool) -> httpcore.AsyncConnectionPool:
+def _make_connection_pool(*, keep_alive: bool) -> httpcore.AsyncConnectionPool:
     return httpcore.AsyncConnectionPool(
         max_connections=MAX_CONNECTIONS,
-        max_keepalive_connections=MAX_CONNECTIONS if keep else 0,
+        max_keepalive_connections=MAX_CONNECTIONS if keep_alive else 0,
         keepalive_expiry=KEEPALIVE_S,
         retries=0,
         network_backend=httpcore.AnyIOBackend(),
--- a/packages/fulmarroad-router/src/fulmarroad_router/calls.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/calls.py
@@ -1,4 +1,4 @@
-"""One caller's request, read and checked, and what is sent on for it."""
+"""A caller's validated request, and the request that is forwarded for it."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from fulmarroad_router.exceptions import BadRequest
 
 BYTES_PER_TOKEN = 4
-"""A rough guess until the engine's own count comes with the answer's end."""
+"""Estimate, used until the engine reports its token count at the end of the answer."""
 
 DEFAULT_ANSWER_TOKENS = 256
 PREFIX_BLOCK_BYTES = 256
-"""Bytes of a prompt's first block; each further hash covers twice as many."""
+"""Length of the shortest hashed prefix; each further prefix is twice as long."""
 
 MAX_PREFIX_BLOCKS = 8
-"""Eight doublings reach 32 KB of prompt in forty bytes of a demand."""
+"""Eight hashes cover up to 32 KB of prompt and add forty bytes to a demand."""
 MAX_ID_LENGTH = 128
 
-_NOT_SENT_ON = HOP_BY_HOP | {
+_DROPPED_REQUEST_HEADERS = HOP_BY_HOP | {
     b"host",
     b"authorization",
     b"content-length",
@@ -37,12 +37,17 @@
     b"fulmarroad-workspace",
     b"fulmarroad-first-attempt",
 }
-_NOT_SENT_BACK = HOP_BY_HOP | {b"x-request-id", b"fulmarroad-ran", b"date", b"server"}
+_DROPPED_RESPONSE_HEADERS = HOP_BY_HOP | {
+    b"x-request-id",
+    b"fulmarroad-ran",
+    b"date",
+    b"server",
+}
 
 
 @frozen
 class ChatBody:
-    """Hold what the router reads of a chat completion's body."""
+    """Hold the fields of a chat completion's body that the router uses."""
 
     model: str = ""
     stream: bool = False
@@ -52,7 +57,12 @@
 
 @define
 class Call:
-    """Hold one accepted request while it waits and runs."""
+    """Hold one accepted request while it waits and runs.
+
+    `arrived` is a time of this router's clock. `may_send` returns whether the call may
+    still be sent at a given time. `sent` is set once a backend server may have received
+    the call.
+    """
 
     request_id: str
     workspace: Workspace
@@ -71,26 +81,26 @@
 
     @property
     def deadline(self) -> float:
-        """Return the time on this router's clock by which the call must end."""
+        """Return the time of this router's clock by which the call must end."""
         return self.arrived + self.route.timeout_s
 
     @property
     def continues_after_disconnect(self) -> bool:
-        """Tell whether the call goes on once it is sent though its caller left.
+        """Return whether a sent call continues after its caller disconnects.
 
-        A call that may not be repeated is better ended than cut off: its outcome can
-        then be told to the caller's next attempt.
+        A call that may not be repeated runs to its end, so that the caller's next
+        attempt with the same key gets its outcome.
         """
         return bool(self.idempotency_key) and not self.route.repeatable
 
     @property
     def prompt_tokens(self) -> float:
-        """Return a rough count of the prompt's tokens."""
+        """Return an estimate of the prompt's tokens, from the body's length."""
         return len(self.body) / BYTES_PER_TOKEN
 
     @property
     def cost_hint(self) -> float:
-        """Return a rough guess of the whole cost in the pool's service units."""
+        """Return an estimate of the call's total cost in the pool's service units."""
         if self.pool.cost is not CostUnit.TOKENS:
             return 1.0
         return self.prompt_tokens * self.pool.prompt_cost + self.chat.max_tokens
@@ -98,8 +108,11 @@
     def backend_request(
         self, address: str, resume_from: int | None = None
     ) -> BackendRequest:
-        """Return what is sent to the backend server."""
-        headers = strip_headers(self.headers, _NOT_SENT_ON)
+        """Return the request for a backend server.
+
+        `resume_from` is the number of tokens already received, for a resumed answer.
+        """
+        headers = strip_headers(self.headers, _DROPPED_REQUEST_HEADERS)
         headers.append((b"host", address.encode()))
         headers.append((b"x-request-id", self.request_id.encode()))
         headers.append((b"fulmarroad-workspace", self.workspace.name.encode()))
@@ -111,8 +124,8 @@
 
 
 def strip_headers(headers: Headers, dropped: Collection[bytes]) -> Headers:
-    """Return headers without those that concern one hop only."""
-    named = {
+    """Return headers without `dropped` and those that `Connection` names."""
+    connection_headers = {
         token.strip().lower()
         for name, value in headers
         if name.lower() == b"connection"
@@ -121,17 +134,17 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in dropped and name.lower() not in named
+        if name.lower() not in dropped and name.lower() not in connection_headers
     ]
 
 
 def response_headers(headers: Headers) -> Headers:
-    """Return a backend server's headers as they go to the caller."""
-    return strip_headers(headers, _NOT_SENT_BACK)
+    """Return the headers of a backend server's answer that are sent to the caller."""
+    return strip_headers(headers, _DROPPED_RESPONSE_HEADERS)
 
 
 def header(headers: Headers, name: bytes) -> str:
-    """Return a header's first value as text, or nothing."""
+    """Return the first value of a header as text, or an empty string."""
     for key, value in headers:
         if key.lower() == name:
             return value.decode("latin-1").strip()
@@ -139,26 +152,26 @@
 
 
 def request_id_of(headers: Headers) -> str:
-    """Return the caller's request id if it is usable, else a new one."""
-    given = header(headers, b"x-request-id")
+    """Return the caller's request id if it is valid, else a new one."""
+    request_id = header(headers, b"x-request-id")
     if (
-        given
-        and len(given) <= MAX_ID_LENGTH
-        and given.isascii()
-        and given.isprintable()
+        request_id
+        and len(request_id) <= MAX_ID_LENGTH
+        and request_id.isascii()
+        and request_id.isprintable()
     ):
-        return given
+        return request_id
     return str(uuid.uuid4())
 
 
 def bearer_token(headers: Headers) -> str:
-    """Return the key that the caller shows, or nothing."""
+    """Return the caller's bearer token, or an empty string."""
     scheme, _, key = header(headers, b"authorization").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 def parse_chat_body(body: bytes) -> ChatBody:
-    """Read a chat completion's body; raise `BadRequest` if it is none."""
+    """Parse a chat completion's body; raise `BadRequest` if it is invalid."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -167,10 +180,10 @@
         raise BadRequest("The body must be a JSON object.")
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise BadRequest("The body needs `messages`, a list that is not empty.")
+        raise BadRequest("`messages` must be a non-empty list.")
     model = document.get("model")
     if not isinstance(model, str) or not model:
-        raise BadRequest("The body needs `model`, a name.")
+        raise BadRequest("`model` must be a non-empty string.")
     stream = document.get("stream", False)
     if not isinstance(stream, bool | None):
         raise BadRequest("`stream` must be true or false.")
@@ -179,7 +192,7 @@
 
 
 def prefix_hashes(prompt: bytes) -> tuple[int, ...]:
-    """Return hashes of the prompt's leading blocks, from short to long."""
+    """Return hashes of the prompt's prefixes, shortest first."""
     hashes: list[int] = []
     length = PREFIX_BLOCK_BYTES
     while length <= len(prompt) and len(hashes) < MAX_PREFIX_BLOCKS:
@@ -189,7 +202,7 @@
 
 
 def cached_blocks(tokens: int) -> int:
-    """Return how many of a prompt's hashed blocks an engine's cached tokens cover."""
+    """Return how many of a prompt's hashed prefixes `tokens` cached tokens cover."""
     covered = tokens * BYTES_PER_TOKEN
     if covered < PREFIX_BLOCK_BYTES:
         return 0
@@ -203,6 +216,6 @@
         if value is None:
             continue
         if type(value) is not int or value < 1:
-            raise BadRequest(f"`{name}` must be a whole number above 0.")
+            raise BadRequest(f"`{name}` must be a positive integer.")
         return value
     return DEFAULT_ANSWER_TOKENS
--- a/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors that a caller sees, each with its HTTP status and whether the call ran."""
+"""Errors reported to callers, with their HTTP status and whether the call ran."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class CallError(FulmarroadError):
-    """Answer a caller with an error in the one JSON format."""
+    """Report an error to a caller, as the JSON document that all errors share."""
 
     status = 500
     code = "internal_error"
@@ -23,7 +23,7 @@
 
 
 class BadRequest(CallError):
-    """Refuse a request that can't be read."""
+    """Refuse a malformed request."""
 
     status = 400
     code = "malformed_request"
@@ -32,7 +32,7 @@
 
 
 class Unauthorized(CallError):
-    """Refuse a request without a known key."""
+    """Refuse a request without a valid API key."""
 
     status = 401
     code = "invalid_key"
@@ -41,7 +41,7 @@
 
 
 class RouteNotFound(CallError):
-    """Refuse a request for which the tables name no route."""
+    """Refuse a request that matches no route of the tables."""
 
     status = 404
     code = "unknown_route"
@@ -59,7 +59,7 @@
 
 
 class HeadersTooLarge(CallError):
-    """Refuse headers above the limit for callers."""
+    """Refuse headers above the size limit."""
 
     status = 431
     code = "headers_too_large"
@@ -68,7 +68,7 @@
 
 
 class KeyReused(CallError):
-    """Refuse an idempotency key that came before with another request."""
+    """Refuse an idempotency key that was used before for a different request."""
 
     status = 422
     code = "key_reused"
@@ -77,7 +77,7 @@
 
 
 class KeyInProgress(CallError):
-    """Tell that the first attempt of this key still runs."""
+    """Report that an earlier attempt with this key may still be running."""
 
     status = 409
     code = "key_in_progress"
@@ -86,7 +86,7 @@
 
 
 class KeyUnverifiable(CallError):
-    """Refuse a repeat of which nobody can say now whether an earlier attempt ran."""
+    """Refuse a repeat when it can't be checked whether an earlier attempt ran."""
 
     status = 503
     kind = "overloaded_error"
@@ -94,7 +94,7 @@
 
 
 class AnswerNotKept(CallError):
-    """Tell a repeat that its call ran and that its answer is gone."""
+    """Report to a repeat that its call ran and that the answer was not stored."""
 
     status = 409
     code = "answer_not_kept"
@@ -103,7 +103,7 @@
 
 
 class Refused(CallError):
-    """Turn a request away without having run it."""
+    """Refuse a request that has not run."""
 
     status = 503
     kind = "overloaded_error"
@@ -111,7 +111,7 @@
 
     def __init__(self, reason: RefusalReason, retry_after_s: float) -> None:
         super().__init__(
-            _REFUSALS[reason], code=reason.value, retry_after_s=retry_after_s
+            _REFUSAL_MESSAGES[reason], code=reason.value, retry_after_s=retry_after_s
         )
         self.reason = reason
         if reason is RefusalReason.WORKSPACE_QUEUE_FULL:
@@ -119,7 +119,7 @@
 
 
 class OutcomeUnknown(CallError):
-    """Say honestly that a call was sent and its outcome is not known."""
+    """Report that a call was sent and that its outcome is unknown."""
 
     status = 502
     code = "outcome_unknown"
@@ -128,7 +128,7 @@
 
 
 class RequestBarred(CallError):
-    """Say that a request ran, that servers crash under it, and that it runs no more."""
+    """Refuse a request that ran and crashed servers, and is not sent again."""
 
     status = 502
     code = "request_barred"
@@ -137,7 +137,7 @@
 
 
 class TimedOut(CallError):
-    """Say that a call was sent and did not end in time."""
+    """Report that a call was sent and did not end in time."""
 
     status = 504
     code = "timeout"
@@ -146,33 +146,39 @@
 
 
 class AnswerBroken(CallError):
-    """Break an answer off that has begun, visibly to its caller."""
+    """Abort an answer that has begun, so that the caller can detect it."""
 
     status = 502
     code = "answer_broken"
 
 
-_REFUSALS = {
-    RefusalReason.QUEUE_FULL: "The fleet's queue is full. Try again later.",
+_REFUSAL_MESSAGES = {
+    RefusalReason.QUEUE_FULL: "The queue of the fleet is full. Try again later.",
     RefusalReason.WORKSPACE_QUEUE_FULL: (
-        "Too many requests of this workspace wait already. Send fewer at once."
+        "Too many requests of this workspace are waiting or running. "
+        "Send fewer at once."
     ),
     RefusalReason.WAIT_TOO_LONG: "The wait would be too long. Try again later.",
-    RefusalReason.DEADLINE_PASSED: "No capacity came free in time. Try again later.",
-    RefusalReason.NO_SERVERS: "No backend server takes work for this route now.",
+    RefusalReason.DEADLINE_PASSED: (
+        "No capacity became available in time. Try again later."
+    ),
+    RefusalReason.NO_SERVERS: "No backend server accepts calls for this route now.",
     RefusalReason.SHUTTING_DOWN: "This router is shutting down. Try again at once.",
-    RefusalReason.ABOVE_SHARE: "Your workspace uses its share. Come back later.",
+    RefusalReason.ABOVE_SHARE: (
+        "Your workspace already uses its share. Try again later."
+    ),
     RefusalReason.ROUTER_BUSY: "This router is busy. Try another one at once.",
     RefusalReason.NOT_READY: "This router is not ready yet. Try again shortly.",
     RefusalReason.RETRY_BUDGET: (
-        "The backend server could not be reached and too many retries run already."
+        "The backend server could not be reached and no further retry is allowed."
     ),
-    RefusalReason.KEY_IN_PROGRESS: "The first attempt of this key still runs.",
+    RefusalReason.KEY_IN_PROGRESS: "The first attempt with this key is still running.",
     RefusalReason.KEY_UNVERIFIABLE: (
-        "It can't be shown now that this key has not run before. Try again later."
+        "It can't be checked now whether this key has run before. Try again later."
     ),
     RefusalReason.REQUEST_SUSPECTED: (
-        "Servers ended under this request, and a copy of it runs now. Try again later."
+        "Servers crashed while running this request, and a copy of it is running. "
+        "Try again later."
     ),
-    RefusalReason.KEYS_FULL: "Too many idempotency keys are kept. Try again later.",
+    RefusalReason.KEYS_FULL: "Too many idempotency keys are stored. Try again later.",
 }
--- a/packages/fulmarroad-router/src/fulmarroad_router/execution.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/execution.py
@@ -1,8 +1,9 @@
-"""Run one call: wait for a lease, send it, stream the answer, account for it.
+"""Run one call: wait for a lease, send the call, stream the answer, report the cost.
 
-What may be tried again is decided here. A call of which no byte was sent may always
-be tried elsewhere; one that was sent only if its route says that it may be repeated;
-one whose answer has begun only by resuming it where the engine can.
+This module decides whether a failed try is followed by another one. A call of which no
+byte was sent may always be retried on another server. A call that was sent may be
+retried only if its route is marked as repeatable. An answer that has begun can only be
+resumed, in pools whose engines support it.
 """
 
 from __future__ import annotations
@@ -56,43 +57,47 @@
 logger = logging.getLogger("fulmarroad.router")
 
 PROGRESS_S = 0.1
-"""Service is told to the coordinator this often, not for each token."""
+"""Interval of progress reports to the coordinator, instead of one for each token."""
 
-EARLY_CHUNKS = 16
-"""Chunks after which a running answer says how its server does: enough for a mean of
-their gaps, and about a second of an answer that takes ten."""
+EARLY_PROGRESS_CHUNKS = 16
+"""Chunks after which the latency of a running answer is reported: enough for a mean
+gap, and about one second into an answer that takes ten seconds."""
 
 MAX_TRIES = 4
-"""Tries of one call at all, so that one request can't roam the whole fleet."""
+"""Maximum tries of one call, so that one request can't reach every server."""
 
 MAX_USAGE_BYTES = 256 * 1024
-REFUSED_STATUS = {429, 503}
-"""Answers by which a backend server says that it took no work on."""
+REFUSED_STATUSES = {429, 503}
+"""Statuses by which a backend server reports that it did not accept the call."""
 
-FAILED_STATUS = {500, 502, 504}
-"""Answers by which a backend server says that it failed."""
+FAILED_STATUSES = {500, 502, 504}
+"""Statuses by which a backend server reports that it failed."""
 
 
 class Responder(Protocol):
-    """Carry an answer to the caller, waiting where the caller reads slowly."""
+    """Send an answer to the caller; sending blocks while the caller reads slowly."""
 
     @property
     def begun(self) -> bool:
-        """Tell whether the head of the answer has been sent."""
+        """Return whether the status and headers have been sent."""
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and headers."""
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send one chunk of the body."""
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """Send the end of a complete answer."""
 
 
 @define
 class _Progress:
-    """Hold how far the answer has got to the caller, over all tries."""
+    """Hold the state of a call over all its tries.
+
+    `tokens` counts those already sent to the caller. `sent` is set once a try failed
+    after the call was sent. `failed` names the servers of failed tries.
+    """
 
     tokens: int = 0
     done: bool = False
@@ -102,7 +107,7 @@
 
 
 class Execution:
-    """Run calls with leases from the coordinator."""
+    """Run calls under leases that the coordinator grants."""
 
     def __init__(
         self,
@@ -112,19 +117,19 @@
         clock: Callable[[], float],
         name: str,
     ) -> None:
-        """Take what surrounds the task; `name` is this start of this router."""
+        """Create an execution; `name` identifies this run of this router process."""
         self._coordinator = coordinator
         self._backends = backends
         self._admission_controller = admission_controller
         self._clock = clock
         self._sequence = 0
-        self._prefix = short_name(name)
+        self._demand_prefix = short_name(name)
 
     async def run(self, call: Call, responder: Responder) -> None:
-        """Carry one call to its end; raise `CallError` for lack of a whole answer."""
+        """Run one call to its end; raise `CallError` if the answer is not complete."""
         progress = _Progress()
         while not progress.done:
-            lease = await self._lease(call, progress)
+            lease = await self._acquire_lease(call, progress)
             progress.tries += 1
             self._admission_controller.begin(call)
             try:
@@ -133,25 +138,27 @@
             finally:
                 self._admission_controller.end(call)
 
-    async def _lease(self, call: Call, progress: _Progress) -> Lease:
-        ask = self._ask(call, progress)
+    async def _acquire_lease(self, call: Call, progress: _Progress) -> Lease:
+        ask = self._build_ask(call, progress)
         try:
             self._admission_controller.admit(
                 call, ask.demand_id, first=not progress.tries
             )
             answer = await self._coordinator.request(ask)
         except Refused as refused:
-            raise self._refusal(refused, progress) from refused
+            raise self._refusal_error(refused, progress) from refused
         finally:
             self._admission_controller.leave(ask.demand_id)
         if isinstance(answer, Granted):
             return answer.lease
-        raise self._refusal(Refused(answer.reason, answer.retry_after_s), progress)
+        raise self._refusal_error(
+            Refused(answer.reason, answer.retry_after_s), progress
+        )
 
-    def _ask(self, call: Call, progress: _Progress) -> Ask:
+    def _build_ask(self, call: Call, progress: _Progress) -> Ask:
         self._sequence += 1
         return Ask(
-            demand_id=f"{self._prefix}{self._sequence:x}",
+            demand_id=f"{self._demand_prefix}{self._sequence:x}",
             pool=call.pool.name,
             workspace=call.workspace.name,
             weight=call.workspace.weight,
@@ -160,22 +167,25 @@
             deadline=call.deadline,
             prefix=prefix_hashes(call.chat.prompt),
             repeatable=call.route.repeatable,
-            avoid=self._avoided(call, progress),
+            avoid=self._servers_to_avoid(call, progress),
         )
 
-    def _refusal(self, refused: Refused, progress: _Progress) -> CallError:
-        """Return a refusal, which is "not run" only if no try was ever sent."""
+    def _refusal_error(self, refused: Refused, progress: _Progress) -> CallError:
+        """Return the error for a refused call.
+
+        It says "not run" only if no try of the call was sent.
+        """
         if progress.tokens:
-            return AnswerBroken("The answer broke off and could not be resumed.")
+            return AnswerBroken("The answer was interrupted and could not be resumed.")
         if progress.sent:
             return OutcomeUnknown(
-                "The call was sent and broke off, and no backend server was free "
+                "The call was sent and failed, and no backend server was available "
                 "to repeat it; it may have run."
             )
         return refused
 
-    def _avoided(self, call: Call, progress: _Progress) -> tuple[str, ...]:
-        """Return the servers that failed this call, unless all of the pool did."""
+    def _servers_to_avoid(self, call: Call, progress: _Progress) -> tuple[str, ...]:
+        """Return the servers that failed this call, or none if the whole pool did."""
         others = {server.name for server in call.pool.servers} - set(progress.failed)
         return progress.failed if others else ()
 
@@ -198,7 +208,7 @@
             outcome = Outcome.FAILED
             self._retry_sent(call, lease, responder, progress, error)
         finally:
-            self._report(call, lease, meter, outcome)
+            self._report_finished(call, lease, meter, outcome)
 
     async def _send(
         self,
@@ -213,37 +223,45 @@
         meter.sent = self._clock()
         if call.may_send is not None and not call.may_send(meter.sent):
             raise FailedBeforeSend(
-                "The permission to send this key's call has run out."
+                "The permission to send the call with this key has expired."
             )
         self._coordinator.send_command(NoteStarted(lease.lease_id))
         repeatable = call.route.repeatable
         backend = self._backends.call(
             call.pool, lease.server, request, repeatable=repeatable
         )
-        call.sent = True  # taken back where no byte left
+        call.sent = True  # reset by _retry_unsent if no byte was sent
         async with backend as response:
-            self._check_answer(call, response, progress)
-            if _is_events(response):
-                await self._stream(call, lease, response, responder, progress, meter)
+            self._check_response(call, response, progress)
+            if _is_event_stream(response):
+                await self._forward_stream(
+                    call, lease, response, responder, progress, meter
+                )
             else:
-                await self._copy(call, lease, response, responder, meter)
+                await self._forward_body(call, lease, response, responder, meter)
         progress.done = True
         return response.status
 
-    def _check_answer(
+    def _check_response(
         self, call: Call, response: BackendResponse, progress: _Progress
     ) -> None:
-        """Refuse an answer that belongs to another request, or is no resumption."""
+        """Raise `FailedAfterSend` for an answer that must not reach the caller.
+
+        These are answers to another request, failures that may be retried, and answers
+        that do not resume the stream as requested.
+        """
         echoed = response.header(b"x-request-id").decode("latin-1")
         if echoed and echoed != call.request_id:
             raise FailedAfterSend("The backend server answered another request.")
-        failed = response.status in REFUSED_STATUS | FAILED_STATUS
+        failed = response.status in REFUSED_STATUSES | FAILED_STATUSES
         if failed and call.route.repeatable and progress.tries < MAX_TRIES:
-            raise FailedAfterSend(f"The backend server answered {response.status}.")
-        if progress.tokens and not _is_events(response):
+            raise FailedAfterSend(
+                f"The backend server answered with status {response.status}."
+            )
+        if progress.tokens and not _is_event_stream(response):
             raise FailedAfterSend("The engine did not resume the answer.")
 
-    async def _stream(
+    async def _forward_stream(
         self,
         call: Call,
         lease: Lease,
@@ -252,29 +270,29 @@
         progress: _Progress,
         meter: Meter,
     ) -> None:
-        """Pass events on one by one; only `[DONE]` makes the answer whole."""
+        """Forward events one by one; the answer is complete only after `[DONE]`."""
         splitter = EventSplitter()
-        reported = meter.sent
+        reported_at = meter.sent
         unreported = 0
-        done = judged = False
+        done = early_reported = False
         async for chunk in response.chunks():
             for event in splitter.feed(chunk):
                 unreported += event.tokens
-                await self._pass_on(event, response, responder, progress, meter)
+                await self._forward_event(event, response, responder, progress, meter)
                 done = done or event.done
             now = self._clock()
-            if not judged and meter.chunks >= EARLY_CHUNKS:
-                judged = True
-                self._note_progress(lease, unreported, meter)
-                reported, unreported = now, 0
-            elif unreported and now - reported >= PROGRESS_S:
-                self._note_progress(lease, unreported)
-                reported, unreported = now, 0
+            if not early_reported and meter.chunks >= EARLY_PROGRESS_CHUNKS:
+                early_reported = True
+                self._report_progress(lease, unreported, meter)
+                reported_at, unreported = now, 0
+            elif unreported and now - reported_at >= PROGRESS_S:
+                self._report_progress(lease, unreported)
+                reported_at, unreported = now, 0
         if not done:
-            raise FailedAfterSend("The engine ended its answer before it was whole.")
+            raise FailedAfterSend("The engine ended its answer without `[DONE]`.")
         await responder.finish()
 
-    def _note_progress(
+    def _report_progress(
         self, lease: Lease, tokens: int, meter: Meter | None = None
     ) -> None:
         first_s = meter.first_s if meter is not None else None
@@ -283,7 +301,7 @@
             NoteProgress(lease.lease_id, float(tokens), first_s, gap_s)
         )
 
-    async def _pass_on(
+    async def _forward_event(
         self,
         event: StreamEvent,
         response: BackendResponse,
@@ -300,7 +318,7 @@
         progress.tokens += event.tokens
         await responder.send(event.raw)
 
-    async def _copy(
+    async def _forward_body(
         self,
         call: Call,
         lease: Lease,
@@ -308,20 +326,24 @@
         responder: Responder,
         meter: Meter,
     ) -> None:
-        """Copy a body; its head waits for the first part, so a try may still fail."""
-        kept = bytearray()
+        """Forward a body that is not an event stream.
+
+        Headers are sent with the first chunk, so that a failure before it can still be
+        retried.
+        """
+        body = bytearray()
         meter.non_streaming = bool(call.chat.model)
         headers = response_headers(response.headers)
         async for chunk in response.chunks():
             if not responder.begun:
                 await responder.begin(response.status, headers)
             meter.record_chunk(0)
-            if len(kept) < MAX_USAGE_BYTES:
-                kept += chunk
+            if len(body) < MAX_USAGE_BYTES:
+                body += chunk
             await responder.send(chunk)
         if not responder.begun:
             await responder.begin(response.status, headers)
-        usage = parse_usage(bytes(kept)) if call.chat.model else None
+        usage = parse_usage(bytes(body)) if call.chat.model else None
         if usage is not None:
             meter.record_usage(usage)
         await responder.finish()
@@ -329,7 +351,7 @@
     def _retry_unsent(
         self, call: Call, lease: Lease, progress: _Progress, error: FailedBeforeSend
     ) -> None:
-        """Let the call try elsewhere, or refuse it truthfully as not run."""
+        """Allow another try after a failure before sending, or raise an error."""
         call.sent = progress.sent
         progress.failed = (*progress.failed, lease.server.name)
         if progress.tokens and progress.tries < MAX_TRIES:
@@ -337,10 +359,10 @@
         if progress.tries < MAX_TRIES and self._admission_controller.may_retry(
             call.pool.name
         ):
-            self._note_retry(call, lease, error)
+            self._log_retry(call, lease, error)
             return
         refused = Refused(RefusalReason.RETRY_BUDGET, 1.0)
-        raise self._refusal(refused, progress) from error
+        raise self._refusal_error(refused, progress) from error
 
     def _retry_sent(
         self,
@@ -350,15 +372,15 @@
         progress: _Progress,
         error: Exception,
     ) -> None:
-        """Let the call be resumed or repeated where that is allowed."""
+        """Allow a resumption or another try after sending, or raise the final error."""
         progress.failed = (*progress.failed, lease.server.name)
         progress.sent = True
         late = self._clock() >= call.deadline
-        spent = late or progress.tries >= MAX_TRIES
+        exhausted = late or progress.tries >= MAX_TRIES
         if responder.begun:
-            if spent or not (call.pool.can_resume and call.chat.stream):
+            if exhausted or not (call.pool.can_resume and call.chat.stream):
                 raise AnswerBroken(
-                    "The backend server broke its answer off."
+                    "The backend server interrupted its answer."
                 ) from error
             emit(
                 logger,
@@ -370,10 +392,10 @@
             return
         if (
             call.route.repeatable
-            and not spent
+            and not exhausted
             and self._admission_controller.may_retry(call.pool.name)
         ):
-            self._note_retry(call, lease, error)
+            self._log_retry(call, lease, error)
             return
         if late:
             raise TimedOut("The call did not end in time; it may have run.") from error
@@ -381,7 +403,7 @@
             "The backend server failed after the call was sent; it may have run."
         ) from error
 
-    def _note_retry(self, call: Call, lease: Lease, error: Exception) -> None:
+    def _log_retry(self, call: Call, lease: Lease, error: Exception) -> None:
         emit(
             logger,
             Event.REQUEST_RETRIED,
@@ -390,12 +412,14 @@
             cause=str(error),
         )
 
-    def _report(self, call: Call, lease: Lease, meter: Meter, outcome: Outcome) -> None:
+    def _report_finished(
+        self, call: Call, lease: Lease, meter: Meter, outcome: Outcome
+    ) -> None:
         report = Finished(
             lease.shard,
             lease.lease_id,
             outcome,
-            self._service(call, meter, outcome),
+            self._cost(call, meter, outcome),
             meter.first_s,
             meter.gap_s,
             self._clock() - meter.sent,
@@ -403,8 +427,8 @@
         )
         self._coordinator.send_command(NoteFinished(report))
 
-    def _service(self, call: Call, meter: Meter, outcome: Outcome) -> float:
-        """Return what the try cost, in the pool's unit."""
+    def _cost(self, call: Call, meter: Meter, outcome: Outcome) -> float:
+        """Return the cost of the try in the pool's service unit."""
         if outcome is Outcome.UNREACHABLE:
             return 0.0
         if call.pool.cost is CostUnit.CALLS:
@@ -415,17 +439,18 @@
 
 
 def _outcome_of(pool: Pool, status: int) -> Outcome:
-    """Return what an answer says of its server.
+    """Return the outcome that an answer's status counts as for its server.
 
-    An engine that fails answers at once, and would pass for the fastest of all. A
-    plain service may fail for one caller's data, which says nothing of the others.
+    A failing engine answers at once and would be rated as the fastest one, so its
+    failures count. A status 500 of a plain service does not: one caller's data may
+    have caused it, and other calls may succeed.
     """
-    failed = status in REFUSED_STATUS or status in FAILED_STATUS - {500}
-    if failed or (pool.kind is PoolKind.MODEL and status in FAILED_STATUS):
+    failed = status in REFUSED_STATUSES or status in FAILED_STATUSES - {500}
+    if failed or (pool.kind is PoolKind.MODEL and status in FAILED_STATUSES):
         return Outcome.FAILED
     return Outcome.COMPLETED
 
 
-def _is_events(response: BackendResponse) -> bool:
+def _is_event_stream(response: BackendResponse) -> bool:
     kind = response.header(b"content-type")
     return response.status == 200 and kind.startswith(b"text/event-stream")
--- a/packages/fulmarroad-router/src/fulmarroad_router/gate.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/gate.py
@@ -1,4 +1,4 @@
-"""Whether this router takes calls: not ready, open, draining, closed."""
+"""The state that decides whether this router accepts calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GateState(enum.StrEnum):
-    """Say how far the router is in its life."""
+    """Name the stages of a router's lifecycle, from start to shutdown."""
 
     STARTING = "starting"
     OPEN = "open"
@@ -19,11 +19,11 @@
 
 
 class CallGate:
-    """Count calls in flight and refuse new ones outside of service.
+    """Count calls in flight and refuse new ones before opening and after closing.
 
-    While draining, calls are still served: the platform's balancer needs a moment to
-    see that the router is unready, and callers who come in that moment must not be
-    refused for it. Only a closed gate refuses.
+    Calls are still accepted while draining: the platform's load balancer detects only
+    after a delay that the router is not ready, and calls that it routes here until then
+    must not be refused.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
 
     @property
     def state(self) -> GateState:
-        """Return how far the router is in its life."""
+        """Return the current stage of the router's lifecycle."""
         return self._state
 
     @property
@@ -43,11 +43,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether the balancer may send calls."""
+        """Return whether the load balancer may send calls."""
         return self._state is GateState.OPEN
 
     def refusal(self) -> RefusalReason | None:
-        """Return why no call is taken, or nothing."""
+        """Return why calls are refused, or `None` if they are accepted."""
         if self._state is GateState.STARTING:
             return RefusalReason.NOT_READY
         if self._state is GateState.CLOSED:
@@ -55,22 +55,22 @@
         return None
 
     def enter(self) -> None:
-        """Count a call in."""
+        """Increment the number of calls in flight."""
         self._in_flight += 1
 
     def leave(self) -> None:
-        """Count a call out."""
+        """Decrement the number of calls in flight."""
         self._in_flight -= 1
         if self._in_flight == 0:
             self._idle.set()
 
     def open(self) -> None:
-        """Take calls."""
+        """Accept calls and become ready, if the router is starting."""
         if self._state is GateState.STARTING:
             self._state = GateState.OPEN
 
     def drain(self) -> None:
-        """Become unready and go on serving."""
+        """Report not ready, but still accept calls."""
         if self._state is not GateState.CLOSED:
             self._state = GateState.DRAINING
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -1,8 +1,8 @@
 """Run calls that may not be repeated at most once for each idempotency key.
 
-A caller whose connection broke sends its call again and may reach another router,
-another data centre, or the same router after a restart. Without this module each of
-them would run it; a family would get two letters, a show would be charged twice.
+A caller whose connection broke repeats its call and may reach another router, another
+data centre, or the same router after a restart. Without this module each of them would
+run the call again, and a letter would be sent or a payment charged twice.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Replay,
     SendOnce,
 )
-from fulmarroad.keys import KeyInProgress as StillRunning
+from fulmarroad.keys import KeyInProgress as KeyInProgressDecision
 from fulmarroad.types import Ran
 from fulmarroad_router.app import CallRunner
 from fulmarroad_router.backend import Headers
@@ -40,12 +40,15 @@
 
 logger = logging.getLogger("fulmarroad.router")
 
-REPLAYED = (b"idempotent-replayed", b"true")
+REPLAYED_HEADER = (b"idempotent-replayed", b"true")
 IN_PROGRESS_RETRY_S = 1.0
 
 
-class KeptAnswer:
-    """Pass an answer on and keep a copy for repeats, as far as it is short enough."""
+class RecordingResponder:
+    """Forward an answer and record it for repeats.
+
+    Recording stops once the body exceeds `MAX_BODY_BYTES`.
+    """
 
     def __init__(self, responder: Responder) -> None:
         self._responder = responder
@@ -55,35 +58,41 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether the head of the answer has been sent."""
+        """Return whether the status and headers have been sent."""
         return self._responder.begun
 
     async def begin(self, status: int, headers: Headers) -> None:
-        """Send the head."""
+        """Send the status and headers."""
         self.status = status
         self.headers = headers
         await self._responder.begin(status, headers)
 
     async def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send one chunk of the body."""
         if len(self.body) <= MAX_BODY_BYTES:
             self.body += chunk
         await self._responder.send(chunk)
 
     async def finish(self) -> None:
-        """End the answer as whole."""
+        """Send the end of a complete answer."""
         await self._responder.finish()
 
 
 class KeyedRunner:
-    """Guard a runner by the groups of routers that keep keys."""
+    """Run calls with idempotency keys at most once.
+
+    The groups of routers that store the keys decide whether a call may be sent.
+    """
 
     def __init__(self, runner: CallRunner, keys: KeyGroups) -> None:
         self._runner = runner
         self._keys = keys
 
     async def run(self, call: Call, responder: Responder) -> None:
-        """Run a call; one with a key at most once, and replay its outcome after."""
+        """Run a call, or replay the stored answer if its key has already run.
+
+        Raises `CallError`. Calls without a key and repeatable ones run unchecked.
+        """
         if not call.idempotency_key or call.route.repeatable:
             await self._runner.run(call, responder)
             return
@@ -105,37 +114,38 @@
                 workspace=call.workspace.name,
                 cause=type(decision).__name__,
             )
-            raise _error(call, decision)
+            raise _refusal_error(call, decision)
 
     async def _send(
         self, call: Call, responder: Responder, attempt: KeyAttempt
     ) -> None:
         call.may_send = attempt.may_send
-        kept = KeptAnswer(responder)
+        recorder = RecordingResponder(responder)
         try:
-            await self._runner.run(call, kept)
+            await self._runner.run(call, recorder)
         except CallError as error:
-            await self._note_failure(call, attempt, error)
+            await self._record_failure(call, attempt, error)
             raise
         except BaseException:
-            # The caller left or the router fails; what was sent may have run.
-            await self._note_end(call, attempt)
+            # The caller disconnected or the router failed. If the call was sent, it may
+            # have run.
+            await self._record_interruption(call, attempt)
             raise
         headers = tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
-            for name, value in kept.headers
+            for name, value in recorder.headers
         )
-        await self._keys.finish(attempt, kept.status, headers, bytes(kept.body))
+        await self._keys.finish(attempt, recorder.status, headers, bytes(recorder.body))
 
-    async def _note_failure(
+    async def _record_failure(
         self, call: Call, attempt: KeyAttempt, error: CallError
     ) -> None:
         if error.ran is Ran.NOT_RUN:
             await self._keys.give_up(attempt)
         else:
-            await self._note_end(call, attempt)
+            await self._record_interruption(call, attempt)
 
-    async def _note_end(self, call: Call, attempt: KeyAttempt) -> None:
+    async def _record_interruption(self, call: Call, attempt: KeyAttempt) -> None:
         if call.sent:
             await self._keys.mark_outcome_unknown(attempt)
         else:
@@ -151,20 +161,20 @@
         )
         if not answer.whole:
             raise AnswerNotKept(
-                f"This key's call ended with status {answer.status}; "
-                "its answer was too long to be kept."
+                f"The call with this key ended with status {answer.status}; "
+                "its answer was too long to be stored."
             )
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
             for name, value in answer.headers
         ]
-        await responder.begin(answer.status, [*headers, REPLAYED])
+        await responder.begin(answer.status, [*headers, REPLAYED_HEADER])
         await responder.send(answer.body)
         await responder.finish()
 
 
 def fingerprint_of(call: Call) -> str:
-    """Return what tells one request of a key from another one."""
+    """Return a hash that distinguishes requests sent with the same key."""
     digest = hashlib.sha256()
     for part in (call.method.encode(), call.target, call.body):
         digest.update(len(part).to_bytes(8))
@@ -172,28 +182,31 @@
     return digest.hexdigest()
 
 
-def _error(call: Call, decision: KeyDecision) -> CallError:
+def _refusal_error(call: Call, decision: KeyDecision) -> CallError:
     match decision:
         case KeyMismatch():
-            return KeyReused("This `Idempotency-Key` came with another request.")
+            return KeyReused(
+                "This `Idempotency-Key` was already used for a different request."
+            )
         case KeyOutcomeUnknown():
             return OutcomeUnknown(
-                "This key's call was sent before and its outcome is not known."
+                "The call with this key was sent before and its outcome is unknown."
             )
         case KeyRefusal(reason, retry_after_s):
             if call.first_attempt:
                 return Refused(reason, retry_after_s)
-            # This attempt was not sent, but "not run" would be taken for the call.
+            # This attempt was not sent, but the caller would read "not run" as a
+            # statement about the call, and an earlier attempt may have run.
             return KeyUnverifiable(
-                "This attempt was not sent; whether an earlier one with this key ran "
-                "can't be told now. Try again with the same key.",
+                "This attempt was not sent. Whether an earlier one with this key ran "
+                "can't be checked now. Try again with the same key.",
                 code=reason.value,
                 retry_after_s=retry_after_s,
             )
-        case StillRunning():
+        case KeyInProgressDecision():
             return KeyInProgress(
                 "Another attempt with this key may be running.",
                 retry_after_s=IN_PROGRESS_RETRY_S,
             )
         case _:
-            raise TypeError(f"{decision!r} is no refusal")
+            raise TypeError(f"{decision!r} is not a refusal")
--- a/packages/fulmarroad-router/src/fulmarroad_router/sse.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/sse.py
@@ -1,4 +1,4 @@
-"""Cut a stream of server-sent events into events and read what they say."""
+"""Split a stream of server-sent events and parse the events' data."""
 
 from __future__ import annotations
 
@@ -10,55 +10,58 @@
 from fulmarroad.exceptions import FulmarroadError
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""An event above this is refused; an engine that sends no separator is broken."""
+"""Maximum size of an event: a faulty engine may never send a separator."""
 
 DONE = b"[DONE]"
 
 
 class EventTooLarge(FulmarroadError):
-    """Report a stream that holds no end of event within the limit."""
+    """Report an event that does not end within `MAX_EVENT_BYTES`."""
 
 
 @frozen
 class StreamEvent:
-    """Hold one event with its separator, as it goes to the caller."""
+    """Hold one event: `raw` as sent to the caller, with separator, and its `data`."""
 
     raw: bytes
     data: bytes
 
     @property
     def done(self) -> bool:
-        """Tell whether the event ends the stream."""
+        """Return whether the event ends the stream."""
         return self.data == DONE
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens the event carries: one, or none."""
+        """Return how many tokens the event counts as: one if it has content, else 0."""
         return int(b'"content":' in self.data and b'"content":""' not in self.data)
 
 
 class EventSplitter:
-    """Collect bytes and give back the whole events among them."""
+    """Buffer chunks of a stream and split them into complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def pending(self) -> int:
-        """Return the bytes of an event that has not ended yet."""
+        """Return how many bytes of an incomplete event are buffered."""
         return len(self._buffer)
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Return the events that a chunk completes; raise `EventTooLarge`."""
+        """Add a chunk and return the events that it completes.
+
+        Raises `EventTooLarge` if the incomplete event exceeds `MAX_EVENT_BYTES`.
+        """
         buffer = (self._buffer + chunk).replace(b"\r\n", b"\n")
         *blocks, self._buffer = buffer.split(b"\n\n")
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise EventTooLarge("The engine sent an event above 1 MiB.")
-        return [_event(block) for block in blocks if block.strip()]
+            raise EventTooLarge("The engine sent an event larger than 1 MiB.")
+        return [_parse_event(block) for block in blocks if block.strip()]
 
 
 def parse_usage(data: bytes) -> dict[str, Any] | None:
-    """Return the usage that an answer or event carries, if it does."""
+    """Return the `usage` object of an answer or event, or `None`."""
     if b'"usage"' not in data:
         return None
     try:
@@ -68,7 +71,7 @@
     return usage if isinstance(usage, dict) else None
 
 
-def _event(block: bytes) -> StreamEvent:
+def _parse_event(block: bytes) -> StreamEvent:
     lines = block.split(b"\n")
     data = [line[5:].lstrip() for line in lines if line.startswith(b"data:")]
     return StreamEvent(block + b"\n\n", b"\n".join(data))
--- a/packages/fulmarroad-router/src/fulmarroad_router/traffic.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/traffic.py
@@ -1,4 +1,4 @@
-"""Count the membership's packets as control traffic."""
+"""Accounting of membership packets as control traffic."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from fulmarroad.transport import TrafficCount
 
 UDP_OVERHEAD_BYTES = 28
-"""IP and UDP headers of one packet."""
+"""Bytes of the IPv4 and UDP headers of one packet."""
 
 
 class TrafficCountingMetrics:
-    """Pass metrics on and add the membership's bytes to the control traffic."""
+    """Forward metrics and add the bytes of membership packets to control traffic."""
 
     def __init__(self, metrics: Metrics, traffic: TrafficCount) -> None:
         self._metrics = metrics
@@ -25,9 +25,9 @@
         self._metrics.incr(name, count)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a reading."""
+        """Set a gauge."""
         self._metrics.gauge(name, value)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Add one duration."""
+        """Record a duration."""
         self._metrics.timing(name, seconds)
--- a/packages/fulmarroad-router/tests/conftest.py
+++ b/packages/fulmarroad-router/tests/conftest.py
@@ -6,5 +6,5 @@
 
 @pytest.fixture
 def session():
-    """Return a function that plays calls on one router and writes down all."""
+    """Return `run_session`, which runs a scenario and returns its transcript."""
     return run_session
--- a/packages/fulmarroad-router/tests/router_bed.py
+++ b/packages/fulmarroad-router/tests/router_bed.py
@@ -1,4 +1,4 @@
-"""One router in virtual time, with callers by ASGI and scripted backend servers."""
+"""A router in virtual time, with ASGI callers and scripted backend servers."""
 
 import hashlib
 import json
@@ -45,7 +45,7 @@
 
 
 def make_tables(**pool_changes):
-    """Return tables of one chat route and two plain ones."""
+    """Return tables with one chat route and two plain routes."""
     workspace = Workspace(
         "coop", key_sha256=(hashlib.sha256(KEY.encode()).hexdigest(),)
     )
@@ -86,7 +86,7 @@
 
 @define
 class Script:
-    """Say what a backend server does with its next call."""
+    """Hold the behaviour of a backend server for one call."""
 
     kind: str = "stream"  # stream, plain, refuse, break_before
     tokens: int = 4
@@ -112,7 +112,7 @@
             self.read.append(part)
             yield part
         if self.broken:
-            raise FailedAfterSend("The backend server broke its answer off.")
+            raise FailedAfterSend("The backend server interrupted its answer.")
 
 
 @define
@@ -126,7 +126,9 @@
             raise FailedBeforeSend("The backend server can't be reached.")
         await anyio.sleep(0.1)
         if self.script.kind == "break_before":
-            raise FailedAfterSend("The backend server broke off before its answer.")
+            raise FailedAfterSend(
+                "The connection to the backend server failed before its answer."
+            )
         sent = dict(self.request.headers)
         headers = [(b"connection", b"keep-alive")]
         echo = self.script.echo_id or sent[b"x-request-id"].decode()
@@ -155,7 +157,7 @@
 
 @define
 class ScriptedBackends:
-    """Stand in for the backend client; scripts are used up in order."""
+    """Replace the backend client; each call uses the next script."""
 
     scripts: list = field(factory=list)
     seen: list = field(factory=list)
@@ -167,8 +169,8 @@
         return ScriptedCall(script, request, self.read)
 
 
-class EventLog(logging.Handler):
-    """Keep the numbers of events in order."""
+class EventNumberHandler(logging.Handler):
+    """Record the event numbers of log records in order."""
 
     def __init__(self):
         super().__init__(logging.INFO)
@@ -181,7 +183,7 @@
 
 
 class Router:
-    """Answer calls through the real application, execution and coordinator."""
+    """Run calls through the real application, execution and coordinator."""
 
     def __init__(self, scripts, tables):
         self.tables = tables
@@ -219,7 +221,7 @@
         )
 
     def _keys(self):
-        """Return key groups of this router alone, and of one far away if it is cut."""
+        """Return key groups over `key_vms`; every other router is unreachable."""
         return KeyGroups(
             KeyIdentity("router-a", 1, CENTRE),
             KeyStore("router-a", CENTRE, KeyLimits(), now=0.0, first_fleet=True),
@@ -237,13 +239,13 @@
     async def run(self):
         self.coordinator.send_command(SetVms({CENTRE: ("router-a",)}))
         self.coordinator.send_command(SetMembers({CENTRE: ("router-a",)}, {}))
-        self.put(self.tables)
+        self.set_tables(self.tables)
         self.gate.open()
         async with anyio.create_task_group() as group:
             group.start_soon(self.admission_controller.run)
             await self.coordinator.run()
 
-    def put(self, tables):
+    def set_tables(self, tables):
         self.tables = tables
         if tables is not None:
             self.coordinator.send_command(SetTables(tables))
@@ -314,8 +316,12 @@
 
 
 def run_session(scenario, scripts=(), tables=None):
-    """Play calls on one router and return all that was sent both ways."""
-    log = EventLog()
+    """Run a scenario on one router and return a transcript.
+
+    The transcript holds the answers, the requests to backend servers, the remaining
+    calls and the event numbers.
+    """
+    log = EventNumberHandler()
     logger = logging.getLogger("fulmarroad.router")
     logger.addHandler(log)
     logger.setLevel(logging.INFO)
@@ -324,7 +330,7 @@
         router = Router(scripts, tables or make_tables())
         async with anyio.create_task_group() as group:
             group.start_soon(router.run)
-            # A new scheduler grants no unit of a cold server before this.
+            # A new scheduler grants no unit of a cold server before this time.
             await anyio.sleep(LEND_QUARANTINE_S + 0.5)
             lines = await scenario(router)
             await anyio.sleep(0.1)
--- a/packages/fulmarroad-router/tests/test_gate.py
+++ b/packages/fulmarroad-router/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate serves while draining and refuses only once closed."""
+"""Tests of the gate: calls are accepted while draining and refused once closed."""
 
 import anyio
 import pytest
@@ -13,19 +13,19 @@
 
 
 class TestCallGate:
-    def test_refuses_before_tables_are_in_force(self):
+    def test_refuses_calls_until_opened(self):
         assert CallGate().refusal() is RefusalReason.NOT_READY
 
-    def test_serves_while_draining(self):
-        # The balancer learns late that a router is unready; a caller that it sends
-        # meanwhile would otherwise be turned away by a shutdown.
+    def test_accepts_calls_while_draining(self):
+        # The load balancer detects only after a delay that a router is not ready. Calls
+        # that it sends until then must not be refused.
         gate = CallGate()
         gate.open()
         gate.drain()
         assert not gate.ready
         assert gate.refusal() is None
 
-    def test_never_opens_again(self):
+    def test_closed_gate_cannot_be_reopened(self):
         gate = CallGate()
         gate.open()
         gate.close()
@@ -34,7 +34,7 @@
         assert gate.refusal() is RefusalReason.SHUTTING_DOWN
 
     @pytest.mark.anyio
-    async def test_waits_for_calls_in_flight(self):
+    async def test_wait_idle_waits_for_calls_in_flight(self):
         gate = CallGate()
         gate.enter()
         order = []
--- a/packages/fulmarroad-router/tests/test_metering.py
+++ b/packages/fulmarroad-router/tests/test_metering.py
@@ -1,4 +1,4 @@
-"""Answers are measured so that they tell how a server does."""
+"""Tests of the measured latency, token counts and outcome of a try."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 class TestMeter:
-    def test_stream(self, clock):
+    def test_measures_a_streamed_answer(self, clock):
         meter = Meter(clock)
         for clock.now in (0.4, 0.5, 0.6):
             meter.record_chunk(1)
@@ -29,10 +29,10 @@
         assert meter.gap_s == pytest.approx(0.1)
         assert meter.tokens == 3
 
-    def test_answer_in_one_piece_has_no_first_token(self, clock):
-        # A caller asks for an answer that isn't streamed. Its first byte comes after
-        # the last token; taken for a first token it looked so slow that a server
-        # which warmed up was set back to cold by each such answer.
+    def test_non_streaming_answer_has_no_time_to_first_token(self, clock):
+        # The first byte of an answer that isn't streamed arrives after the last token.
+        # Counted as the first token, it was so late that each such answer reset a
+        # server that was warming up to cold.
         meter = Meter(clock, non_streaming=True)
         clock.now = 5.0
         meter.record_chunk(0)
@@ -40,7 +40,7 @@
         assert meter.first_s is None
         assert meter.gap_s == pytest.approx(0.05)
 
-    def test_engines_count_replaces_the_estimate(self, clock):
+    def test_token_count_of_the_engine_replaces_the_estimate(self, clock):
         meter = Meter(clock)
         meter.record_chunk(1)
         meter.record_usage({"prompt_tokens": 7, "completion_tokens": 3})
@@ -51,7 +51,7 @@
         "usage",
         [{"prompt_tokens": -1}, {"completion_tokens": "9"}, {"prompt_tokens": True}],
     )
-    def test_nonsense_of_an_engine_is_ignored(self, clock, usage):
+    def test_invalid_usage_is_ignored(self, clock, usage):
         meter = Meter(clock, prompt_tokens=5.0)
         meter.record_usage(usage)
         assert (meter.prompt_tokens, meter.tokens) == (5.0, 0)
@@ -69,5 +69,5 @@
             (PoolKind.PLAIN, 504, Outcome.FAILED),
         ],
     )
-    def test_failing_engine_does_not_pass_for_a_fast_one(self, kind, status, outcome):
+    def test_status_is_mapped_to_an_outcome_by_pool_kind(self, kind, status, outcome):
         assert _outcome_of(Pool("p", kind=kind), status) is outcome
--- a/packages/fulmarroad-router/tests/test_sse.py
+++ b/packages/fulmarroad-router/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events are cut and counted as engines send them."""
+"""Tests of splitting server-sent events and counting their tokens."""
 
 import json
 
@@ -22,7 +22,7 @@
 class TestEventSplitter:
     @settings(derandomize=True, max_examples=50)
     @given(st.lists(st.integers(1, 40), max_size=20))
-    def test_chunk_borders_change_nothing(self, sizes):
+    def test_events_do_not_depend_on_chunk_boundaries(self, sizes):
         stream = token("a") + token("b") + token("") + b"data: [DONE]\n\n"
         splitter, events, at = EventSplitter(), [], 0
         for size in [*sizes, len(stream)]:
@@ -32,17 +32,17 @@
         assert [event.tokens for event in events] == [1, 1, 0, 0]
         assert [event.done for event in events] == [False, False, False, True]
 
-    def test_keeps_an_event_that_has_not_ended(self):
+    def test_buffers_an_incomplete_event(self):
         splitter = EventSplitter()
         assert splitter.feed(b'data: {"x"') == []
         assert splitter.pending == 10
 
-    def test_takes_carriage_returns(self):
+    def test_accepts_crlf_line_endings(self):
         [event] = EventSplitter().feed(b"data: [DONE]\r\n\r\n")
         assert event.done
 
-    def test_refuses_an_event_without_end(self):
-        # An engine that never ends its event would fill the router's memory.
+    def test_rejects_an_event_above_the_size_limit(self):
+        # An engine that never ends an event would fill the router's memory.
         splitter = EventSplitter()
         with pytest.raises(EventTooLarge):
             splitter.feed(b"x" * (MAX_EVENT_BYTES + 1))
@@ -59,5 +59,5 @@
             (b"{}", None),
         ],
     )
-    def test_reads_usage_or_nothing(self, data, usage):
+    def test_returns_usage_or_none(self, data, usage):
         assert parse_usage(data) == usage
