--- a/packages/fulmarroad-router/src/fulmarroad_router/_header_guard.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/_header_guard.py
@@ -1,10 +1,9 @@
-"""Close connections of callers that never finish sending a request's headers.
+"""HTTP protocol that closes connections whose request headers never complete.
 
-uvicorn limits how long a connection may idle between two requests, but waits for ever
-for the first byte of a new connection and for the rest of headers that have begun.
-Callers that stop there, by a lost peer or on purpose, each keep a descriptor; operators
-would notice a router that runs out of them and takes no new connections while it is
-idle otherwise.
+uvicorn limits how long a connection may idle between two requests, but waits without a
+limit for the first byte of a new connection and for the rest of incomplete headers. A
+caller that stops there, after a crash or on purpose, holds a file descriptor. A router
+that runs out of descriptors accepts no new connections although it is otherwise idle.
 """
 
 from __future__ import annotations
@@ -22,12 +21,12 @@
 logger = logging.getLogger("fulmarroad.router")
 
 HEADER_TIMEOUT_S = 10.0
-"""Time for the headers of one request where operators state none: they fit one packet,
-so this covers several lost ones on a bad line."""
+"""Default time limit for the headers of one request. Headers fit in one packet, so the
+limit allows for several retransmissions on a lossy network."""
 
 CLOSE_GRACE_S = 0.1
-"""Time between the limit and the close. After a pause of the process the timer runs
-before the bytes that came meanwhile are read."""
+"""Time between the header timeout and the close. After a pause of the process the timer
+fires before the bytes that arrived during the pause are read."""
 
 HEADER_TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
@@ -35,7 +34,7 @@
 
 
 class HeaderGuardConfig(uvicorn.Config):
-    """Hold uvicorn's configuration and the time limit of headers."""
+    """Extend uvicorn's configuration with the header timeout."""
 
     def __init__(self, app: Any, *, header_timeout_s: float, **named: Any) -> None:
         super().__init__(app, http=HeaderGuard, **named)
@@ -43,61 +42,63 @@
 
 
 class HeaderGuard(HttpToolsProtocol):
-    """Speak HTTP on one connection and bound the time of a request's headers."""
+    """Handle HTTP on one connection with a timeout for request headers."""
 
     config: HeaderGuardConfig
 
     def __init__(self, *args: Any, **named: Any) -> None:
         super().__init__(*args, **named)
-        self._headers_begun = False
-        self._guard: TimerHandle | None = None
+        self._headers_started = False
+        self._header_timer: TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Let a new connection idle as long as one between two requests."""
+        """Apply the idle timeout also before the first request of a connection."""
         super().connection_made(transport)
         self.timeout_keep_alive_task = self.loop.call_later(
             self.timeout_keep_alive, self.timeout_keep_alive_handler
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the timers."""
-        self._stop_guard()
+        """Cancel the timers."""
+        self._cancel_header_timer()
         self._unset_keepalive_if_required()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Start the timer if headers have begun and are not whole yet."""
+        """Start the header timer if headers have started but are incomplete."""
         super().data_received(data)
-        if self._headers_begun and self._guard is None:
-            self._guard = self.loop.call_later(
-                self.config.header_timeout_s, self._look_again
+        if self._headers_started and self._header_timer is None:
+            self._header_timer = self.loop.call_later(
+                self.config.header_timeout_s, self._schedule_close
             )
 
     def on_message_begin(self) -> None:
-        """Note that headers have begun."""
-        self._headers_begun = True
+        """Record that headers have started."""
+        self._headers_started = True
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Stop the timer."""
-        self._headers_begun = False
-        self._stop_guard()
+        """Cancel the header timer."""
+        self._headers_started = False
+        self._cancel_header_timer()
         super().on_headers_complete()
 
-    def _stop_guard(self) -> None:
-        if self._guard is not None:
-            self._guard.cancel()
-            self._guard = None
+    def _cancel_header_timer(self) -> None:
+        if self._header_timer is not None:
+            self._header_timer.cancel()
+            self._header_timer = None
 
-    def _look_again(self) -> None:
-        self._guard = self.loop.call_later(CLOSE_GRACE_S, self._give_up)
+    def _schedule_close(self) -> None:
+        self._header_timer = self.loop.call_later(
+            CLOSE_GRACE_S, self._close_unless_responding
+        )
 
-    def _give_up(self) -> None:
+    def _close_unless_responding(self) -> None:
         if self.transport.is_closing():
             return
         if self.cycle is not None and not self.cycle.response_complete:
-            # Closing now would cut off the answer to the request before this one.
-            self._look_again()
+            # Closing now would truncate the response to the previous request.
+            self._schedule_close()
             return
         emit(
             logger,
--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP application, on a port of its own behind a token."""
+"""HTTP application for operators, on a separate port with token authentication."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AdminError(Exception):
-    """Answer an operator's call with an HTTP status and a reason."""
+    """Fail an operator's request with an HTTP status and a message."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -30,35 +30,38 @@
 
 
 class Operations(Protocol):
-    """Do what operators ask of a router."""
+    """Provide the operations of the admin port."""
 
     def healthy(self) -> bool:
-        """Tell whether the process works at all."""
+        """Return whether the process is alive."""
 
     def ready(self) -> bool:
-        """Tell whether the router takes calls."""
+        """Return whether the router accepts calls."""
 
     def status(self) -> dict[str, Any]:
         """Return the router's state."""
 
     def explain(self, route: str, workspace: str) -> dict[str, Any]:
-        """Return where a call would go now; raise `AdminError`."""
+        """Return where a call would be routed now; raise `AdminError`."""
 
     def tables(self) -> dict[str, Any]:
         """Return the tables in force, without keys."""
 
     async def audit(self, after: int, wait_s: float) -> list[dict[str, Any]]:
-        """Return audit records after a sequence number, waiting for the next."""
+        """Return audit records after a sequence number.
+
+        If there are none yet, wait up to `wait_s` seconds for the next one.
+        """
 
     def drain(self, cause: str) -> None:
-        """Begin the graceful shutdown."""
+        """Start the graceful shutdown."""
 
     def cut(self, peers: list[str]) -> None:
-        """Cut the router off from peers; raise `AdminError` unless settings allow."""
+        """Block traffic with peers; raise `AdminError` unless settings allow it."""
 
 
 class AdminApp:
-    """Answer operators' HTTP requests."""
+    """Serve the HTTP requests of operators."""
 
     def __init__(self, operations: Operations, token: str) -> None:
         self._operations = operations
@@ -106,19 +109,19 @@
             name: values[-1]
             for name, values in parse_qs(scope["query_string"].decode()).items()
         }
-        return await handler(query, await _read(receive))
+        return await handler(query, await _read_body(receive))
 
-    def _probe(self, good: bool, reason: str) -> dict[str, Any]:
-        if not good:
+    def _probe(self, passed: bool, reason: str) -> dict[str, Any]:
+        if not passed:
             raise AdminError(503, reason)
         return {"ok": True}
 
     def _authenticate(self, scope: Scope) -> None:
-        shown = bearer_token(scope["headers"]).encode("latin-1")
-        if not hmac.compare_digest(shown, self._token):
+        presented = bearer_token(scope["headers"]).encode("latin-1")
+        if not hmac.compare_digest(presented, self._token):
             client = scope.get("client") or ("", 0)
             emit(logger, Event.ADMIN_REJECTED, client=client[0], path=scope["path"])
-            raise AdminError(401, "Show the admin token as `Authorization: Bearer`.")
+            raise AdminError(401, "Send the admin token as `Authorization: Bearer`.")
 
     async def _status(self, query: Query, body: bytes) -> Any:
         return self._operations.status()
@@ -126,15 +129,15 @@
     async def _explain(self, query: Query, body: bytes) -> Any:
         route = query.get("route", "")
         if not route:
-            raise AdminError(400, "Name the route: /explain?route=NAME.")
+            raise AdminError(400, "The route is missing: /explain?route=NAME.")
         return self._operations.explain(route, query.get("workspace", ""))
 
     async def _tables(self, query: Query, body: bytes) -> Any:
         return self._operations.tables()
 
     async def _audit(self, query: Query, body: bytes) -> Any:
-        after = _number(query, "after")
-        wait_s = min(MAX_WAIT_S, float(_number(query, "wait_s")))
+        after = _parse_whole_number(query, "after")
+        wait_s = min(MAX_WAIT_S, float(_parse_whole_number(query, "wait_s")))
         return {"records": await self._operations.audit(after, wait_s)}
 
     async def _drain(self, query: Query, body: bytes) -> Any:
@@ -152,19 +155,19 @@
         return {"cut": peers}
 
 
-def _number(query: Query, name: str) -> int:
+def _parse_whole_number(query: Query, name: str) -> int:
     value = query.get(name, "0")
     if not value.isascii() or not value.isdigit() or len(value) > 15:
         raise AdminError(400, f"`{name}` must be a whole number.")
     return int(value)
 
 
-async def _read(receive: Receive) -> bytes:
-    parts = bytearray()
+async def _read_body(receive: Receive) -> bytes:
+    content = bytearray()
     while True:
         event = await receive()
-        parts += event.get("body", b"")
-        if len(parts) > MAX_BODY_BYTES:
+        content += event.get("body", b"")
+        if len(content) > MAX_BODY_BYTES:
             raise AdminError(413, "The body is too large.")
         if not event.get("more_body", False):
-            return bytes(parts)
+            return bytes(content)
--- a/packages/fulmarroad-router/src/fulmarroad_router/cli.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/cli.py
@@ -1,4 +1,4 @@
-"""The binary `fulmarroad-router`."""
+"""Entry point of the `fulmarroad-router` command."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def serve(settings: str) -> None:
-    """Run a router until it is told to shut down.
+    """Run a router until it receives a signal or a drain request.
 
     Args:
         settings: path of the TOML file with the router's settings.
@@ -27,15 +27,18 @@
         print(error.show(), file=sys.stderr)
         raise SystemExit(error.exit_code) from error
     except ExceptionGroup as group:
-        _exit(group)
+        _exit_with_first_error(group)
 
 
 async def _run(settings: object) -> None:
     await Node(settings).run()  # type: ignore[arg-type]
 
 
-def _exit(group: ExceptionGroup) -> None:
-    """End with the first failure that knows its exit code."""
+def _exit_with_first_error(group: ExceptionGroup) -> None:
+    """Print the first `FulmarroadError` of a group and exit with its code.
+
+    Raise the group again if it holds none.
+    """
     matched, rest = group.split(FulmarroadError)
     if matched is None:
         raise group
@@ -48,5 +51,5 @@
 
 
 def main() -> None:
-    """Read the arguments and serve."""
+    """Run the command line."""
     fire.Fire(serve, name="fulmarroad-router")
--- a/packages/fulmarroad-router/src/fulmarroad_router/http_server.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/http_server.py
@@ -1,4 +1,4 @@
-"""Run an ASGI application with uvicorn inside a supervised task."""
+"""HTTP server that runs an ASGI application with uvicorn in a supervised task."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 BACKLOG = 1024
 
-ACCEPTED_A_TURN = 16
-"""Connections accepted in one turn of the event loop, where a server is for callers."""
+DEFAULT_ACCEPTS_PER_TURN = 16
+"""Connections accepted per event loop iteration on a port for callers, by default."""
 
 IDLE_TIMEOUT_S = 5.0
-"""Time after which an idle connection of a caller is closed."""
+"""Default time after which an idle connection is closed."""
 
 
 class _Server(uvicorn.Server):
-    """Leave signals to the daemon's own supervisor."""
+    """Run uvicorn without its signal handlers and its periodic timer."""
 
     config: HeaderGuardConfig
 
@@ -36,27 +36,27 @@
         self._stopped = anyio.Event()
 
     async def main_loop(self) -> None:
-        """Wait for the stop.
+        """Wait until the server is stopped.
 
-        The library's own loop wakes ten times a second to keep a date header that is
-        not sent here; with several servers in one process that adds up.
+        uvicorn's own loop wakes ten times a second to update a date header, which is
+        not sent here. Several servers in one process would multiply that cost.
         """
         await self.on_tick(0)
         await self._stopped.wait()
 
     def stop(self) -> None:
-        """End `main_loop`."""
+        """Make `main_loop` return."""
         self.should_exit = True
         self._stopped.set()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture none."""
+        """Capture no signals; the process handles them itself."""
         yield
 
 
 class HttpServer:
-    """Own one listening socket and serve an application on it."""
+    """Serve an ASGI application on one listening socket."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         tls: TlsSettings | None = None,
         idle_timeout_s: float = IDLE_TIMEOUT_S,
         header_timeout_s: float = HEADER_TIMEOUT_S,
-        accepts_per_turn: int = ACCEPTED_A_TURN,
+        accepts_per_turn: int = DEFAULT_ACCEPTS_PER_TURN,
         on_ready: Callable[[int], None] = lambda port: None,
     ) -> None:
         self._app = app
@@ -83,7 +83,10 @@
         self._accepts_per_turn = accepts_per_turn
 
     async def run(self) -> None:
-        """Serve until cancelled or stopped."""
+        """Serve until cancelled or stopped.
+
+        Raise `TransportError` if the port can't be bound.
+        """
         config = HeaderGuardConfig(
             self._app,
             loop="none",
@@ -105,21 +108,24 @@
         listener = self._bind()
         self._server = _Server(config)
         self._on_ready(listener.getsockname()[1])
-        handles = _handles(listener, self._accepts_per_turn)
+        listeners = _duplicate_listener(listener, self._accepts_per_turn)
         try:
-            await self._server.serve(sockets=handles)
+            await self._server.serve(sockets=listeners)
         finally:
-            for handle in handles:
-                handle.close()
+            for sock in listeners:
+                sock.close()
 
     async def stop(self) -> None:
-        """Close the listener and let running requests end."""
+        """Close the listener and let running requests finish."""
         if self._server is not None:
             self._server.stop()
         await anyio.lowlevel.checkpoint()
 
     def set_timeouts(self, idle_s: float, header_s: float) -> None:
-        """Bound the idle time of new connections, and the headers of all requests."""
+        """Set the timeouts.
+
+        The idle timeout applies to new connections only, the header timeout to all.
+        """
         self._idle_timeout_s = idle_s
         self._header_timeout_s = header_s
         if self._server is not None:
@@ -141,12 +147,13 @@
         return listener
 
 
-def _handles(listener: socket.socket, count: int) -> list[socket.socket]:
-    """Return a listener with copies that share its queue, as many as counted.
+def _duplicate_listener(listener: socket.socket, count: int) -> list[socket.socket]:
+    """Return `count` sockets: the listener and duplicates that share its accept queue.
 
-    The event loop accepts one connection a turn from each listener. On a busy VM, where
-    a turn takes long, callers would wait in the queue until they leave, unseen by all
-    that bounds the router's work; operators would notice callers who get no connection
-    at a router that counts few calls. With copies a turn accepts many.
+    The event loop accepts one connection per iteration from each listener. On a busy
+    VM, where an iteration takes long, callers would wait in the accept queue until they
+    time out, and the router's load limits don't count them. Operators would see callers
+    without a connection while the router reports few calls. With duplicates an
+    iteration accepts `count` connections.
     """
     return [listener, *(listener.dup() for _ in range(count - 1))]
--- a/packages/fulmarroad-router/src/fulmarroad_router/logs.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, numbered events, no secrets."""
+"""Structured logs: one JSON object per line, numbered events, no secrets."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-LIBRARY = "fulmarroad"
-ROUTER = "fulmarroad_router"
+LIBRARY_LOGGER = "fulmarroad"
+ROUTER_LOGGER = "fulmarroad_router"
 
 
 def configure_logs(level: str, router: str, stream: TextIO = sys.stderr) -> None:
@@ -25,8 +25,8 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(logging.WARNING)
-    for name in (LIBRARY, ROUTER):
+    for name in (LIBRARY_LOGGER, ROUTER_LOGGER):
         logging.getLogger(name).setLevel(level.upper())
-    # An answer broken off on purpose ends in an exception that the HTTP server would
-    # log with its trace; the router's own event 505 tells it better.
+    # When the router aborts a response on purpose, uvicorn logs the exception with a
+    # traceback. The router logs event 505 for the same case, so this is suppressed.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -1,4 +1,4 @@
-"""Put a router's tasks together under one supervisor tree."""
+"""Assemble the tasks of a router under one supervisor tree."""
 
 from __future__ import annotations
 
@@ -72,10 +72,10 @@
 logger = logging.getLogger("fulmarroad.router")
 
 NOTICE_S = 1.0
-"""How long a draining router goes on taking calls.
+"""Time for which a draining router still accepts calls.
 
-The platform's balancer looks at /readyz about once a second; calls that it sends in
-that time are served, so that a shutdown turns nobody away.
+The platform's load balancer polls /readyz about once a second. Calls that it sends
+before its next poll are served, so a shutdown refuses no calls.
 """
 
 METRICS_S = 1.0
@@ -83,7 +83,7 @@
 
 
 class Node:
-    """Own the life of one router process: start, serve, drain, end."""
+    """Run one router process: start, serve, drain and exit."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -140,7 +140,7 @@
         self._keys = build_key_groups(
             settings,
             self._incarnation,
-            self._ask_member,
+            self._query_member,
             lambda: self._vms,
             self._clock,
         )
@@ -161,7 +161,7 @@
         )
 
     async def run(self) -> None:
-        """Run until the graceful shutdown is done."""
+        """Run until the graceful shutdown has finished."""
         emit(logger, Event.STARTED, incarnation=self._incarnation)
         async with anyio.create_task_group() as group:
             self._group = group
@@ -180,8 +180,8 @@
         self._gate.open()
         emit(logger, Event.READY)
 
-    def ask_drain(self, cause: str) -> None:
-        """Begin the graceful shutdown."""
+    def request_drain(self, cause: str) -> None:
+        """Start the graceful shutdown."""
         if not self._drain_asked.is_set():
             self._drain_cause = cause
             emit(logger, Event.DRAIN_ASKED, cause=cause)
@@ -194,8 +194,8 @@
                 ChildSpec("coordinator", self._coordinator.run, restart=False),
                 ChildSpec("peers", self._peer_server().run),
                 ChildSpec("gossip", self._run_gossip),
-                ChildSpec("members", self._read_changes),
-                ChildSpec("versions", self._read_versions),
+                ChildSpec("members", self._watch_members),
+                ChildSpec("versions", self._watch_versions),
                 ChildSpec("configuration", self._watcher.run),
                 ChildSpec("keys", self._keys.run_copying),
                 ChildSpec("admission", self._admission_controller.run),
@@ -207,33 +207,36 @@
         ).run()
 
     def on_attached(self, peer: str, send: Callable[[Any], None]) -> int:
-        """Note a peer's stream."""
+        """Register the stream of a peer and return its handle."""
         return self._coordinator.on_attached(peer, send)
 
     def on_message(self, peer: str, message: Any) -> None:
-        """Take a message of a peer's stream."""
+        """Handle a message from the stream of a peer."""
         self._coordinator.on_message(peer, message)
 
     def on_detached(self, peer: str, handle: int) -> None:
-        """Note that a peer's stream ended."""
+        """Unregister the stream of a peer that has ended."""
         self._coordinator.on_detached(peer, handle)
 
     async def on_request(self, peer: str, message: Any) -> Any:
-        """Answer a single question."""
+        """Answer a single request of a peer.
+
+        Raise `MessageError` for a message that is not a request.
+        """
         if isinstance(message, TablesWanted):
             return self._watcher.give(message)
         if isinstance(message, KeyStart | KeyFence | KeyFinish | KeyCopyWanted):
             return self._keys.handle(message)
-        raise MessageError(f"{type(message).__name__} is no question.")
+        raise MessageError(f"{type(message).__name__} is not a request.")
 
     async def _watch_signals(self, *, task_status: TaskStatus[None]) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             task_status.started()
             async for number in signals:
-                self.ask_drain(number.name)
+                self.request_drain(number.name)
 
     async def _shut_down(self) -> None:
-        """Become unready, hand roles over, finish what was accepted, leave."""
+        """Drain: leave the membership, hand over roles and finish accepted calls."""
         emit(
             logger,
             Event.SHUTDOWN_BEGUN,
@@ -275,8 +278,9 @@
             self._settings.limits.max_body_bytes,
         )
         listen = self._settings.listen
-        # Without waiting for the port, a router whose port is taken would be ready,
-        # and the balancer would send callers to whoever holds the port.
+        # Readiness waits until the port is bound. Otherwise a router whose port is in
+        # use would report ready, and the load balancer would send calls to the process
+        # that holds the port.
         return HttpServer(
             app, listen.host, listen.port, on_ready=lambda port: self._bound.set()
         )
@@ -292,7 +296,7 @@
             self._swim.members,
             self._swim.versions,
             self._clock,
-            self.ask_drain,
+            self.request_drain,
             self._cut,
         )
         listen = self._settings.listen
@@ -342,15 +346,15 @@
         listen = self._settings.listen
         await self._gossip.run(listen.peer_host, listen.gossip_port)
 
-    async def _read_changes(self) -> None:
+    async def _watch_members(self) -> None:
         async for _ in self._gossip.changes:
-            self._tell_members()
+            self._publish_members()
 
-    async def _read_versions(self) -> None:
+    async def _watch_versions(self) -> None:
         async for report in self._gossip.versions:
             self._watcher.record_peer_version(report.router, report.version)
 
-    def _tell_members(self) -> None:
+    def _publish_members(self) -> None:
         live: dict[str, list[str]] = {}
         members = self._swim.members()
         for name in self._swim.live():
@@ -372,18 +376,18 @@
         if index is not None:
             self._lookup = Lookup(tables, index)
         self._coordinator.send_command(SetTables(tables))
-        self._soon(self._gossip.announce_version, tables.version)
+        self._start_in_group(self._gossip.announce_version, tables.version)
 
     def _take_vm_list(self, listing: VmListing) -> None:
-        self._soon(self._gossip.hint, listing.entries)
+        self._start_in_group(self._gossip.hint, listing.entries)
         vms: dict[str, list[str]] = {}
         for entry in listing.entries:
             vms.setdefault(entry.data_centre, []).append(entry.router)
         self._vms = {centre: tuple(sorted(names)) for centre, names in vms.items()}
         self._coordinator.send_command(SetVms(self._vms))
-        self._tell_members()
+        self._publish_members()
 
-    async def _ask_member(self, peer: str, message: Any) -> Any:
+    async def _query_member(self, peer: str, message: Any) -> Any:
         wanted = isinstance(message, KeyCopyWanted)
         cls = KeyCopyGiven if wanted else KeyRecorded
         return await self._questions.ask(peer, message, cls, ASK_TIMEOUT_S)
@@ -391,7 +395,7 @@
     async def _fetch_tables(self, peer: str, wanted: TablesWanted) -> TablesGiven:
         return await self._questions.ask(peer, wanted, TablesGiven, ASK_TIMEOUT_S)
 
-    def _soon(
+    def _start_in_group(
         self, function: Callable[[Any], Coroutine[Any, Any, None]], value: Any
     ) -> None:
         if self._group is not None:
--- a/packages/fulmarroad-router/src/fulmarroad_router/operations.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask of a running router, answered from its state."""
+"""Operations of the admin port, answered from the state of the running router."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RouterOperations:
-    """Answer the admin port."""
+    """Implement the operations of the admin port."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
         self._started = time.time()
 
     def healthy(self) -> bool:
-        """Tell whether the process works at all; it answers, so it does."""
+        """Return True: a process that answers is alive."""
         return True
 
     def ready(self) -> bool:
-        """Tell whether the router takes calls."""
+        """Return whether the router accepts calls."""
         return self._gate.ready
 
     def status(self) -> dict[str, Any]:
@@ -82,7 +82,7 @@
         }
 
     def explain(self, route: str, workspace: str) -> dict[str, Any]:
-        """Return where a call of a route would go now, and why."""
+        """Return where a call of a route would be routed now, and why."""
         tables = self._tables()
         if tables is None:
             raise AdminError(503, "No tables are in force on this router yet.")
@@ -120,20 +120,23 @@
         return document
 
     async def audit(self, after: int, wait_s: float) -> list[dict[str, Any]]:
-        """Return audit records after a sequence number, waiting for the next."""
-        until = self._clock() + wait_s
+        """Return audit records after a sequence number.
+
+        If there are none yet, wait up to `wait_s` seconds for the next one.
+        """
+        deadline = self._clock() + wait_s
         records = self._audit.since(after)
-        while not records and self._clock() < until:
+        while not records and self._clock() < deadline:
             await anyio.sleep(AUDIT_POLL_S)
             records = self._audit.since(after)
         return [record.as_dict() for record in records]
 
     def drain(self, cause: str) -> None:
-        """Begin the graceful shutdown."""
+        """Start the graceful shutdown."""
         self._drain(cause)
 
     def cut(self, peers: list[str]) -> None:
-        """Cut the router off from peers, where bench settings allow it."""
+        """Block traffic with peers, if the bench settings allow it."""
         if not self._settings.bench.allow_cut:
             raise AdminError(403, "The settings do not allow cuts.")
         self._cut.clear()
@@ -195,15 +198,15 @@
         }
 
     def _shard(self, view: Any, schedulers: Mapping[Any, str]) -> dict[str, Any]:
-        beat = view.heartbeat
-        servers = beat.servers if beat is not None else ()
+        heartbeat = view.heartbeat
+        servers = heartbeat.servers if heartbeat is not None else ()
         return {
             "shard": str(view.shard),
             "scheduler": schedulers.get(view.shard),
             "own_data_centre": view.own_centre,
             "reachable": view.reachable,
-            "waiting": beat.waiting if beat else None,
-            "wait_s": beat.wait_s if beat else None,
+            "waiting": heartbeat.waiting if heartbeat else None,
+            "wait_s": heartbeat.wait_s if heartbeat else None,
             "servers": [
                 {
                     "server": row.server,
--- a/packages/fulmarroad-router/src/fulmarroad_router/parts.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/parts.py
@@ -1,4 +1,4 @@
-"""Build the parts of a router that follow from its settings alone."""
+"""Builders for the parts of a router that depend mainly on its settings."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     vms: Callable[[], Mapping[str, tuple[str, ...]]],
     clock: Callable[[], float],
 ) -> KeyGroups:
-    """Return the guard of keyed calls, with this router's own records."""
+    """Build the key groups that deduplicate keyed calls, with this router's store."""
     router, keys = settings.router, settings.keys
     store = KeyStore(
         router.name,
@@ -46,7 +46,7 @@
 
 
 def build_metrics(settings: Settings) -> Metrics:
-    """Return the metrics that the settings ask for."""
+    """Build the metrics client that the settings select."""
     row = settings.metrics
     if not row.host:
         return NoMetrics()
@@ -54,7 +54,10 @@
 
 
 def load_tls_files(settings: Settings) -> TlsFiles | None:
-    """Return the texts of the TLS files; raise `ConfigurationError`."""
+    """Read the TLS files; return None if TLS is off.
+
+    Raise `ConfigurationError` if a file can't be read.
+    """
     row = settings.tls
     if not row.enabled:
         return None
--- a/packages/fulmarroad-router/src/fulmarroad_router/settings.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/settings.py
@@ -1,8 +1,8 @@
-"""Settings of a router process, read from TOML and checked whole.
+"""Settings of a router process, read from a TOML file and validated as a whole.
 
-A router that started on half-read settings would fail later, under load and in a way
-that nobody expects; so every fault is listed at once and the process ends with exit
-code 2 before it binds a port. docs/SETTINGS.md lists every field.
+Invalid settings must not surface later as failures under load. All problems are
+reported at once and the process exits with code 2 before it binds a port.
+docs/SETTINGS.md lists every field.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from fulmarroad import checks
 from fulmarroad.exceptions import ConfigurationError
 
-SHORTEST_SECRET = 16
-"""Characters of a token or secret; a shorter one can be found by trying."""
+MIN_SECRET_LENGTH = 16
+"""Minimum characters of a token or secret; a shorter one can be found by trying."""
 
-LARGEST_FILE = 1024 * 1024
-"""Bytes of the settings or a secret; a larger file is some other file."""
+MAX_FILE_BYTES = 1024 * 1024
+"""Maximum bytes of a settings or secret file; a larger one is the wrong file."""
 
 
 class LogLevel(enum.StrEnum):
-    """Name the least level that is logged."""
+    """List the log levels; records below the chosen one are dropped."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -38,7 +38,7 @@
 
 
 class PolicyName(enum.StrEnum):
-    """Name the scheduling policy; all but `fleet` are baselines of the bench."""
+    """List the scheduling policies; all but `fleet` are benchmark baselines."""
 
     FLEET = "fleet"
     LOCAL = "local"
@@ -47,7 +47,7 @@
 
 @frozen
 class RouterSettings:
-    """Say who this router is; both names as in the VM list and the tables."""
+    """Identify this router; the VM list and the tables use the same two names."""
 
     name: str
     data_centre: str
@@ -55,10 +55,10 @@
 
 @frozen
 class ListenSettings:
-    """Say where this router listens; a port of 0 picks a free one.
+    """Hold the listen addresses of this router; port 0 picks a free port.
 
-    `host` and `port` are for callers, `peer_host` for the other routers: `peer_port`
-    over TCP, `gossip_port` over UDP.
+    Callers connect to `host` and `port`. Other routers connect to `peer_host`, on
+    `peer_port` over TCP and on `gossip_port` over UDP.
     """
 
     host: str
@@ -72,7 +72,7 @@
 
 @frozen
 class PlatformSettings:
-    """Say where configuration and VM list are read."""
+    """Hold the URLs from which the configuration and the VM list are read."""
 
     configuration: str
     vm_list: str = ""  # empty: the same as `configuration`
@@ -80,7 +80,7 @@
 
 @frozen
 class AdminSettings:
-    """Hold the operators' bearer token, or the file that has it."""
+    """Hold the bearer token of the admin port, or the path of its file."""
 
     token: str = field(default="", repr=False)
     token_file: str = ""
@@ -88,7 +88,7 @@
 
 @frozen
 class TlsSettings:
-    """Name the PEM files of mutual TLS between routers."""
+    """Hold the paths of the PEM files for mutual TLS between routers."""
 
     certificate: str = ""
     key: str = ""
@@ -96,13 +96,13 @@
 
     @property
     def enabled(self) -> bool:
-        """Tell whether the files are named."""
+        """Return whether all three files are configured."""
         return bool(self.certificate and self.key and self.authority)
 
 
 @frozen
 class ClusterSettings:
-    """Hold the secret that signs membership packets, or the file that has it."""
+    """Hold the secret that signs membership packets, or the path of its file."""
 
     secret: str = field(default="", repr=False)
     secret_file: str = ""
@@ -110,7 +110,7 @@
 
 @frozen
 class LimitsSettings:
-    """Bound what one router takes on; `max_requests` counts waiting ones too."""
+    """Limit the load of one router; `max_requests` includes waiting requests."""
 
     max_requests: int = 1024
     max_body_bytes: int = 8 * 1024 * 1024
@@ -119,7 +119,7 @@
 
 @frozen
 class MetricsSettings:
-    """Say where statsd metrics go; nowhere if `host` is empty."""
+    """Hold the statsd address; an empty `host` switches metrics off."""
 
     host: str = ""
     port: int = 8125
@@ -128,17 +128,17 @@
 
 @frozen
 class LogSettings:
-    """Say what is logged."""
+    """Hold the log level."""
 
     level: LogLevel = LogLevel.INFO
 
 
 @frozen
 class KeysSettings:
-    """Bound the records of calls that may not be repeated.
+    """Limit the records of calls that must not be repeated.
 
-    `first_fleet` says that no router of the fleet ever served before, so that this one
-    votes on keys without having copied any records.
+    `first_fleet` states that no router of the fleet has served calls before, so this
+    router votes on keys without copying records from others first.
     """
 
     retention_s: float = 3600.0
@@ -149,7 +149,7 @@
 
 @frozen
 class BenchSettings:
-    """Switch on what only experiments use."""
+    """Hold switches that only experiments use."""
 
     policy: PolicyName = PolicyName.FLEET
     allow_cut: bool = False
@@ -157,7 +157,7 @@
 
 @frozen
 class Settings:
-    """Hold every setting of a router process."""
+    """Hold all settings of a router process."""
 
     router: RouterSettings
     listen: ListenSettings
@@ -173,7 +173,7 @@
 
     @property
     def admin_uses_tls(self) -> bool:
-        """Tell whether the admin port speaks HTTPS, as it does off loopback."""
+        """Return whether the admin port uses HTTPS, which it must off loopback."""
         return self.tls.enabled and not _is_loopback(self.listen.admin_host)
 
 
@@ -181,10 +181,10 @@
     fault = f"must be as http://10.0.0.2:9000, with a port; is {checks.shown(value)}"
     try:
         parts = urlsplit(checks.text(1024)(value))
-        sound = parts.scheme in ("http", "https") and parts.hostname and parts.port
+        valid = parts.scheme in ("http", "https") and parts.hostname and parts.port
     except ValueError:
-        sound = False
-    if not sound or parts.query or parts.fragment or "@" in parts.netloc:
+        valid = False
+    if not valid or parts.query or parts.fragment or "@" in parts.netloc:
         raise ValueError(fault)
     return value.rstrip("/")
 
@@ -197,16 +197,16 @@
 
 
 def _secret(value: Any) -> str:
-    # The value isn't shown, as error messages end up in logs.
-    if not isinstance(value, str) or len(value) < SHORTEST_SECRET:
-        raise ValueError(f"must be text of at least {SHORTEST_SECRET} characters")
+    # Error messages end up in logs, so they leave out the value.
+    if not isinstance(value, str) or len(value) < MIN_SECRET_LENGTH:
+        raise ValueError(f"must be text of at least {MIN_SECRET_LENGTH} characters")
     if len(value) > 1024 or not value.isascii() or not value.isprintable():
         raise ValueError("must be at most 1024 printable ASCII characters")
     return value
 
 
 _port = checks.whole(0, 65535)
-_file = checks.text(4096)
+_file_path = checks.text(4096)
 _seconds = checks.number(0.1, 604_800.0)
 _count = checks.whole(1, 10_000_000)
 
@@ -225,9 +225,12 @@
         },
     ),
     "platform": (PlatformSettings, {"configuration": _url, "vm_list": _url}),
-    "admin": (AdminSettings, {"token": _secret, "token_file": _file}),
-    "tls": (TlsSettings, {"certificate": _file, "key": _file, "authority": _file}),
-    "cluster": (ClusterSettings, {"secret": _secret, "secret_file": _file}),
+    "admin": (AdminSettings, {"token": _secret, "token_file": _file_path}),
+    "tls": (
+        TlsSettings,
+        {"certificate": _file_path, "key": _file_path, "authority": _file_path},
+    ),
+    "cluster": (ClusterSettings, {"secret": _secret, "secret_file": _file_path}),
     "limits": (
         LimitsSettings,
         {
@@ -259,28 +262,30 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Return the settings of a file, with secrets read from the files it names.
+    """Load settings from a file, including the secrets in the files it names.
 
-    Names of files are relative to the settings' directory. Raise `ConfigurationError`
-    with every problem.
+    Relative paths are resolved against the directory of the settings file. Raise
+    `ConfigurationError` that lists all problems.
     """
     try:
         text = _read_file(Path(path))
     except ValueError as error:
         raise ConfigurationError(f"The settings {path} {error}.") from error
     settings = parse_settings(text)
-    return _Files(Path(path).parent).resolve(settings)
+    return _FileResolver(Path(path).parent).resolve(settings)
 
 
 def parse_settings(text: str) -> Settings:
-    """Return the settings of a TOML text; files that it names aren't read.
+    """Parse settings from TOML text, without reading the files that it names.
 
-    Raise `ConfigurationError` with every problem.
+    Raise `ConfigurationError` that lists all problems.
     """
     try:
         document = tomllib.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"The settings are no TOML: {error}.") from error
+        raise ConfigurationError(
+            f"The settings are not valid TOML: {error}."
+        ) from error
     problems: list[str] = []
     sections = _read_sections(document, problems)
     problems += _cross_check(sections)
@@ -305,7 +310,7 @@
     for name in document:
         if name not in _SECTIONS:
             known = ", ".join(f"[{section}]" for section in _SECTIONS)
-            problems.append(f"{name}: is no section; known are {known}")
+            problems.append(f"{name}: is no section; the sections are {known}")
     sections: dict[str, Any] = {}
     for name, (cls, section_checks) in _SECTIONS.items():
         if name not in document and name not in _REQUIRED:
@@ -314,29 +319,31 @@
         if not isinstance(row, dict):
             problems.append(f"{name}: must be written as [{name}]")
             continue
-        section = checks.read_row(cls, row, section_checks, _report(name, problems))
+        section = checks.read_row(
+            cls, row, section_checks, _problem_reporter(name, problems)
+        )
         if section is not None:
             sections[name] = section
     return sections
 
 
-def _report(section: str, problems: list[str]) -> checks.Report:
+def _problem_reporter(section: str, problems: list[str]) -> checks.Report:
     return lambda key, fault: problems.append(f"{section}.{key}: {fault}")
 
 
 def _cross_check(sections: Mapping[str, Any]) -> list[str]:
-    problems = [*_one_secret(sections), *_whole_tls(sections)]
+    problems = [*_check_secret_sources(sections), *_check_tls_files(sections)]
     listen = sections.get("listen")
     if listen is None:
         return problems
     tls = sections.get("tls", TlsSettings())
     cluster = sections.get("cluster", ClusterSettings())
-    problems += _off_loopback(listen, tls, cluster)
-    problems += _same_ports(listen)
+    problems += _check_non_loopback(listen, tls, cluster)
+    problems += _check_distinct_ports(listen)
     return problems
 
 
-def _one_secret(sections: Mapping[str, Any]) -> list[str]:
+def _check_secret_sources(sections: Mapping[str, Any]) -> list[str]:
     problems = []
     admin = sections.get("admin")
     if admin is not None and bool(admin.token) == bool(admin.token_file):
@@ -347,35 +354,35 @@
     return problems
 
 
-def _whole_tls(sections: Mapping[str, Any]) -> list[str]:
+def _check_tls_files(sections: Mapping[str, Any]) -> list[str]:
     tls = sections.get("tls")
     if tls is None or tls.enabled:
         return []
-    lacking = [
+    missing = [
         name for name in ("certificate", "key", "authority") if not getattr(tls, name)
     ]
-    return [f"tls.{name}: is missing; name all three files or none" for name in lacking]
+    return [f"tls.{name}: is missing; set all three files or none" for name in missing]
 
 
-def _off_loopback(
+def _check_non_loopback(
     listen: ListenSettings, tls: TlsSettings, cluster: ClusterSettings
 ) -> list[str]:
     problems = []
-    peers_outside = not _is_loopback(listen.peer_host)
-    if peers_outside and not tls.enabled:
+    peers_off_loopback = not _is_loopback(listen.peer_host)
+    if peers_off_loopback and not tls.enabled:
         problems.append(
             f"listen.peer_host: {listen.peer_host} is not loopback, so peers need "
-            "mutual TLS: name certificate, key and authority in [tls]"
+            "mutual TLS: set certificate, key and authority in [tls]"
         )
-    if peers_outside and not (cluster.secret or cluster.secret_file):
+    if peers_off_loopback and not (cluster.secret or cluster.secret_file):
         problems.append(
             f"listen.peer_host: {listen.peer_host} is not loopback, so membership "
-            "packets must be signed: give secret_file in [cluster]"
+            "packets must be signed: set secret_file in [cluster]"
         )
     if not _is_loopback(listen.admin_host) and not tls.enabled:
         problems.append(
             f"listen.admin_host: {listen.admin_host} is not loopback, so the admin "
-            "token would cross the network in the clear: name the files in [tls]"
+            "token would cross the network in plain text: set the files in [tls]"
         )
     return problems
 
@@ -384,39 +391,39 @@
     return ipaddress.ip_address(host).is_loopback
 
 
-def _same_ports(listen: ListenSettings) -> list[str]:
-    # The gossip port is UDP, so it may have the number of a TCP port.
-    taken: dict[int, str] = {}
+def _check_distinct_ports(listen: ListenSettings) -> list[str]:
+    # The gossip port is UDP, so it may have the same number as a TCP port.
+    field_by_port: dict[int, str] = {}
     problems = []
     for name in ("port", "admin_port", "peer_port"):
         port = getattr(listen, name)
-        other = taken.setdefault(port, name)
+        other = field_by_port.setdefault(port, name)
         if port and other != name:
             problems.append(f"listen.{name}: {port} is also listen.{other}")
     return problems
 
 
 def _read_file(path: Path) -> str:
-    """Return a file's text, or raise `ValueError` that says what to do."""
+    """Return a file's text; raise `ValueError` with the reason if that fails."""
     try:
-        if os.path.getsize(path) > LARGEST_FILE:
-            raise ValueError("is larger than 1 MB, so it is another file")
+        if os.path.getsize(path) > MAX_FILE_BYTES:
+            raise ValueError("is larger than 1 MB, so it is probably the wrong file")
         return path.read_text()
     except UnicodeDecodeError as error:
-        raise ValueError("is no text") from error
+        raise ValueError("is not valid text") from error
     except OSError as error:
         raise ValueError(f"can't be read: {error.strerror}") from error
 
 
-class _Files:
-    """Find the files that settings name, and read the secrets."""
+class _FileResolver:
+    """Resolve the paths in settings and read the secret files."""
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
         self._problems: list[str] = []
 
     def resolve(self, settings: Settings) -> Settings:
-        """Return the settings with secrets in place and whole file names."""
+        """Return the settings with the secrets filled in and resolved paths."""
         admin, cluster = settings.admin, settings.cluster
         if admin.token_file:
             admin = evolve(
@@ -444,5 +451,5 @@
             path = self._directory / getattr(tls, attribute.name)
             paths[attribute.name] = str(path)
             if not path.is_file():
-                self._problems.append(f"tls.{attribute.name}: {path} is no file")
+                self._problems.append(f"tls.{attribute.name}: {path} is not a file")
         return TlsSettings(**paths)
--- a/packages/fulmarroad-router/tests/test_header_guard.py
+++ b/packages/fulmarroad-router/tests/test_header_guard.py
@@ -1,4 +1,4 @@
-"""The time that a caller has for the headers of a request."""
+"""Tests of the header timeout and the idle timeout of connections."""
 
 import pytest
 from attrs import define, field
@@ -11,17 +11,17 @@
     HeaderGuardConfig,
 )
 
-IDLE_S = 15
-HEADERS_S = 4.0
+IDLE_TIMEOUT_S = 15
+HEADER_TIMEOUT_S = 4.0
 REQUEST = b"GET /a/ HTTP/1.1\r\nhost: svc.example\r\n\r\n"
 
 
 @define
 class Timer:
-    """A call at a time of the clock below."""
+    """A callback scheduled on a `VirtualLoop`."""
 
     at: float
-    call: object
+    callback: object
     cancelled: bool = False
 
     def cancel(self):
@@ -30,14 +30,14 @@
 
 @define
 class VirtualLoop:
-    """The part of an event loop that a connection uses, with a clock set by hand."""
+    """The event loop methods that a connection uses, with a manual clock."""
 
     now: float = 0.0
     timers: list = field(factory=list)
     started: int = 0
 
-    def call_later(self, delay, call):
-        timer = Timer(self.now + delay, call)
+    def call_later(self, delay, callback):
+        timer = Timer(self.now + delay, callback)
         self.timers.append(timer)
         return timer
 
@@ -53,20 +53,20 @@
             self.timers.remove(first)
             self.now = first.at
             if not first.cancelled:
-                first.call()
+                first.callback()
         self.now = end
 
 
 class Task:
-    """A task that is never run."""
+    """A task that never runs."""
 
-    def add_done_callback(self, call):
-        """Call nothing."""
+    def add_done_callback(self, callback):
+        """Ignore the callback."""
 
 
 @define
 class Transport:
-    """What a connection wrote, and whether it is closed."""
+    """A transport that records what is written and whether it was closed."""
 
     sent: bytes = b""
     closed: bool = False
@@ -84,10 +84,10 @@
         return default
 
     def pause_reading(self):
-        """Go on reading."""
+        """Do nothing."""
 
     def resume_reading(self):
-        """Go on reading."""
+        """Do nothing."""
 
 
 @pytest.fixture
@@ -103,12 +103,12 @@
 @pytest.fixture
 def connection(loop, transport):
     async def app(scope, receive, send):
-        """Answer nothing."""
+        """Send no response."""
 
     config = HeaderGuardConfig(
         app,
-        header_timeout_s=HEADERS_S,
-        timeout_keep_alive=IDLE_S,
+        header_timeout_s=HEADER_TIMEOUT_S,
+        timeout_keep_alive=IDLE_TIMEOUT_S,
         log_config=None,
     )
     guard = HeaderGuard(config, ServerState(), {}, _loop=loop)
@@ -116,72 +116,77 @@
     return guard
 
 
-class TestHeaders:
-    def test_headers_that_never_end_are_given_up(self, connection, loop, transport):
-        """A caller's VM is lost in the middle of a request. Its connection would stay
-        open for good, and a few thousand of them leave no descriptor for others.
+class TestHeaderTimeout:
+    def test_connection_with_incomplete_headers_is_closed(
+        self, connection, loop, transport
+    ):
+        """Guards against connections that stay open for ever after the VM of a caller
+        fails in the middle of the headers. A few thousand of them use up all file
+        descriptors.
         """
         connection.data_received(REQUEST[:20])
-        loop.wait(HEADERS_S)
+        loop.wait(HEADER_TIMEOUT_S)
         assert not transport.closed
         loop.wait(CLOSE_GRACE_S)
         assert transport.closed
         assert transport.sent == HEADER_TIMEOUT_RESPONSE
 
-    def test_a_few_bytes_now_and_then_gain_no_time(self, connection, loop, transport):
-        """A caller sends one byte a second for ever. If each of them started the time
-        anew, such callers would hold every descriptor of a router.
+    def test_slow_bytes_do_not_extend_the_timeout(self, connection, loop, transport):
+        """Guards against callers that send one byte a second for ever. If each byte
+        restarted the timeout, such callers could hold all file descriptors of a router.
         """
         for place in range(5):
             connection.data_received(REQUEST[place : place + 1])
             loop.wait(1.0)
         assert transport.closed
 
-    def test_whole_headers_stop_the_time(self, connection, loop, transport):
+    def test_complete_headers_cancel_the_timeout(self, connection, loop, transport):
         connection.data_received(REQUEST[:20])
-        loop.wait(HEADERS_S - 0.1)
+        loop.wait(HEADER_TIMEOUT_S - 0.1)
         connection.data_received(REQUEST[20:])
-        loop.wait(10 * HEADERS_S)
+        loop.wait(10 * HEADER_TIMEOUT_S)
         assert not transport.closed
         assert loop.started == 1
 
-    def test_a_long_body_has_its_own_time(self, connection, loop, transport):
+    def test_slow_body_is_not_timed_out(self, connection, loop, transport):
         head = b"POST /a/ HTTP/1.1\r\nhost: svc\r\ncontent-length: 9\r\n\r\nab"
         connection.data_received(head)
-        loop.wait(10 * HEADERS_S)
+        loop.wait(10 * HEADER_TIMEOUT_S)
         assert not transport.closed
 
-    def test_each_request_has_the_whole_time(self, connection, loop, transport):
+    def test_each_request_has_the_full_timeout(self, connection, loop, transport):
         connection.data_received(REQUEST[:20])
-        loop.wait(HEADERS_S - 0.1)
+        loop.wait(HEADER_TIMEOUT_S - 0.1)
         connection.data_received(REQUEST[20:])
         connection.cycle.response_complete = True
         connection.data_received(REQUEST[:20])
-        loop.wait(HEADERS_S - 0.1)
+        loop.wait(HEADER_TIMEOUT_S - 0.1)
         assert not transport.closed
         loop.wait(1.0)
         assert transport.closed
 
-    def test_bytes_that_came_during_a_pause_are_read_first(
+    def test_bytes_received_during_a_pause_are_read_before_the_close(
         self, connection, loop, transport
     ):
-        """The VM is paused after the first bytes, the rest arrives meanwhile, and as it
-        wakes the timer runs first. The caller would be turned away though it was quick.
+        """Guards against a timeout for headers that arrived in time. The VM of the
+        router is paused after the first bytes, the rest arrives during the pause, and
+        after it the timer fires before the bytes are read.
         """
         connection.data_received(REQUEST[:20])
-        loop.wait(HEADERS_S)
+        loop.wait(HEADER_TIMEOUT_S)
         connection.data_received(REQUEST[20:])
         loop.wait(1.0)
         assert not transport.closed
         assert loop.started == 1
 
-    def test_an_answer_on_its_way_is_not_cut_off(self, connection, loop, transport):
-        """A caller sends the next request before the first is answered, and stops in
-        its headers. A refusal now would be read as the answer to the first one, and a
-        close would lose that answer.
+    def test_pending_response_delays_the_close(self, connection, loop, transport):
+        """Guards against closing a connection with a response still to be sent. A
+        caller pipelines a second request and stops in its headers. It would take a 408
+        response for the response to the first request, and a close would lose the
+        first response.
         """
         connection.data_received(REQUEST + REQUEST[:20])
-        loop.wait(HEADERS_S + 5 * CLOSE_GRACE_S)
+        loop.wait(HEADER_TIMEOUT_S + 5 * CLOSE_GRACE_S)
         assert transport.sent == b""
         assert not transport.closed
         connection.cycle.response_complete = True
@@ -189,7 +194,7 @@
         assert transport.sent == HEADER_TIMEOUT_RESPONSE
         assert transport.closed
 
-    def test_the_limit_of_a_newer_configuration_holds(
+    def test_changed_timeout_applies_to_open_connections(
         self, connection, loop, transport
     ):
         connection.config.header_timeout_s = 1.0
@@ -198,19 +203,17 @@
         assert transport.closed
 
 
-class TestFirstByte:
-    def test_a_connection_without_a_request_is_closed(
-        self, connection, loop, transport
-    ):
-        """A caller connects and sends nothing, as after a crash. Without a limit its
-        descriptor is held for good.
+class TestIdleConnection:
+    def test_connection_without_a_request_is_closed(self, connection, loop, transport):
+        """Guards against connections that send nothing, as after a crash of the
+        caller. Without a timeout their file descriptors would never be freed.
         """
-        loop.wait(IDLE_S - 0.1)
+        loop.wait(IDLE_TIMEOUT_S - 0.1)
         assert not transport.closed
         loop.wait(0.2)
         assert transport.closed
 
-    def test_a_lost_connection_leaves_no_timer(self, connection, loop, transport):
+    def test_lost_connection_cancels_all_timers(self, connection, loop, transport):
         connection.data_received(REQUEST[:20])
         connection.connection_lost(ConnectionResetError())
         assert all(timer.cancelled for timer in loop.timers)
--- a/packages/fulmarroad-router/tests/test_reports.py
+++ b/packages/fulmarroad-router/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""What a try of a call reports of its cost and its times."""
+"""Tests of the cost and times that each attempt of a call reports."""
 
 from __future__ import annotations
 
@@ -21,34 +21,38 @@
 
 
 class FakeCoordinator:
-    """Grant every demand at once and keep what was told."""
+    """Grant every demand immediately and record the commands it receives."""
 
     def __init__(self):
-        self.told = []
+        self.commands = []
 
     async def request(self, ask: Ask):
         return Granted(
             ask.demand_id, Lease("l", SHARD, Unit("e1", 0), SERVER, ask, 0.0)
         )
 
-    def send_command(self, note):
-        self.told.append(note)
+    def send_command(self, command):
+        self.commands.append(command)
 
     @property
     def finished(self):
-        return [note.report for note in self.told if isinstance(note, NoteFinished)]
+        return [
+            command.report
+            for command in self.commands
+            if isinstance(command, NoteFinished)
+        ]
 
 
 class FakeAnswer:
-    """Give chunks at given times, then end or break off."""
+    """Yield chunks after given delays, then end or fail."""
 
     status = 200
 
-    def __init__(self, clock, kind, chunks, breaks=False):
+    def __init__(self, clock, kind, chunks, fails=False):
         self._clock = clock
         self.headers = [(b"content-type", kind)]
         self._chunks = chunks
-        self._breaks = breaks
+        self._fails = fails
 
     def header(self, name):
         return dict(self.headers).get(name, b"")
@@ -63,12 +67,12 @@
         for after, chunk in self._chunks:
             self._clock.now += after
             yield chunk
-        if self._breaks:
+        if self._fails:
             raise FailedAfterSend("broken off")
 
 
-class Bed:
-    """Run one call against answers given in turn."""
+class CallHarness:
+    """Run one call whose attempts get the given answers in order."""
 
     def __init__(self):
         self.now = 0.0
@@ -116,30 +120,33 @@
 
 
 class TestFirstToken:
-    def test_a_stream_shows_it(self):
+    def test_streamed_answer_reports_time_to_first_token(self):
         chunks = [(0.5, token()), (2.0, token()), (0.0, end(2))]
-        report = Bed().run(ChatBody("draft", True), (EVENTS, chunks))[0]
+        report = CallHarness().run(ChatBody("draft", True), (EVENTS, chunks))[0]
         assert report.first_s == 0.5
 
     @pytest.mark.parametrize(
         ("model", "first_s"), [("draft", None), ("", 9.0)], ids=["model", "plain"]
     )
-    def test_a_model_answer_in_one_piece_does_not(self, model, first_s):
-        # Callers that don't stream get their answers at the end. If that counted as
-        # the first token, a few long answers would make a warm server look cold, and
-        # its slots would lie idle while work waits.
+    def test_unstreamed_model_answer_reports_no_time_to_first_token(
+        self, model, first_s
+    ):
+        # A call that doesn't stream gets its whole answer at the end. If that time
+        # counted as time to first token, a few long answers would make a warm server
+        # look cold, and its slots would stay idle while calls wait.
         answer = (b"application/json", [(9.0, b'{"usage": {}}')])
-        report = Bed().run(ChatBody(model, False), answer)[0]
+        report = CallHarness().run(ChatBody(model, False), answer)[0]
         assert report.first_s == first_s
 
 
 class TestResumedAnswer:
-    def test_its_tokens_are_charged_once(self):
-        # An engine dies after three of five tokens and another one gives the rest,
-        # with the usage of the whole answer. The workspace pays for five.
+    def test_tokens_are_charged_once(self):
+        # A backend server fails after three of five tokens. A second one sends the
+        # rest and reports the usage of the whole answer. The workspace must be charged
+        # for five tokens, not for eight.
         broken = (EVENTS, [(0.1, token()) for _ in range(3)], True)
         rest = (EVENTS, [(0.1, token()), (0.1, token()), (0.0, end(5))])
-        reports = Bed().run(ChatBody("draft", True), broken, rest)
+        reports = CallHarness().run(ChatBody("draft", True), broken, rest)
         assert [report.service for report in reports] == [3.0, 2.0]
         assert [report.outcome for report in reports] == [
             Outcome.FAILED,
--- a/packages/fulmarroad-router/tests/test_settings.py
+++ b/packages/fulmarroad-router/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of a router's settings."""
+"""Tests of the router settings."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
 
 
 class TestParsing:
-    def test_fills_in_what_is_left_out(self):
+    def test_fills_in_defaults(self):
         parsed = parse_settings(TEXT)
         assert parsed.listen.admin_host == "127.0.0.1"
         assert parsed.platform.vm_list == "http://127.0.0.1:9000"
         assert parsed.bench.policy is PolicyName.FLEET
 
-    def test_hides_secrets(self):
+    def test_repr_hides_secrets(self):
         assert "0123456789abcdef" not in repr(parse_settings(TEXT + CLUSTER))
 
     @pytest.mark.parametrize(
@@ -75,34 +75,35 @@
             ),
         ],
     )
-    def test_names_the_field_of_a_fault(self, old, new, expected):
+    def test_problem_names_the_field(self, old, new, expected):
         assert any(expected in problem for problem in problems(TEXT.replace(old, new)))
 
-    def test_lists_every_fault_at_once(self):
+    def test_lists_all_problems_at_once(self):
         text = TEXT.replace("port = 8080", "port = -1").replace('"r1"', '""')
         assert len(problems(text + "[log]\nlevel = 3\n")) == 3
 
-    def test_never_shows_a_secret_in_an_error(self):
+    def test_error_does_not_show_secrets(self):
         found = problems(TEXT.replace("0123456789abcdef", "hush"))
         assert "hush" not in str(found)
 
 
-class TestOffLoopback:
+class TestNonLoopback:
     """
-    A router is started on a real network without certificates or signing. Anyone there
-    could pose as a router, take leases or read the admin token; nobody would notice.
+    Guards against a router that listens on a real network without certificates or
+    signed packets. Any host there could then impersonate a router, take leases or read
+    the admin token without being noticed.
     """
 
-    OUTSIDE = TEXT.replace('"127.0.0.1"', '"10.0.0.5"')
+    PEERS_OFF_LOOPBACK = TEXT.replace('"127.0.0.1"', '"10.0.0.5"')
 
-    def test_peers_need_tls_and_signed_packets(self):
-        found = problems(self.OUTSIDE)
+    def test_peers_require_tls_and_signed_packets(self):
+        found = problems(self.PEERS_OFF_LOOPBACK)
         assert len(found) == 2
         assert "mutual TLS" in found[0]
         assert "signed" in found[1]
-        assert parse_settings(self.OUTSIDE + TLS + CLUSTER).tls.enabled
+        assert parse_settings(self.PEERS_OFF_LOOPBACK + TLS + CLUSTER).tls.enabled
 
-    def test_admin_needs_tls(self):
+    def test_admin_port_requires_tls(self):
         outside = TEXT.replace("[platform]", 'admin_host = "10.0.0.5"\n[platform]')
         assert "admin token would cross" in problems(outside)[0]
         assert parse_settings(outside + TLS).admin_uses_tls
@@ -110,13 +111,13 @@
 
 
 class TestFiles:
-    def test_reads_secrets_from_files_beside_the_settings(self, tmp_path):
+    def test_reads_secret_files_relative_to_the_settings(self, tmp_path):
         (tmp_path / "token").write_text("a token of 16 or more\n")
         text = TEXT.replace('token = "0123456789abcdef"', 'token_file = "token"')
         (tmp_path / "r.toml").write_text(text)
         assert load_settings(tmp_path / "r.toml").admin.token == "a token of 16 or more"
 
-    def test_names_every_file_that_is_missing(self, tmp_path):
+    def test_names_every_missing_file(self, tmp_path):
         text = TEXT.replace('token = "0123456789abcdef"', 'token_file = "token"')
         (tmp_path / "r.toml").write_text(text + TLS)
         with pytest.raises(ConfigurationError) as caught:
@@ -124,20 +125,22 @@
         assert len(caught.value.problems) == 4
         assert "admin.token_file: token can't be read" in caught.value.problems[0]
 
-    def test_says_that_the_settings_cannot_be_read(self, tmp_path):
+    def test_reports_settings_file_that_cannot_be_read(self, tmp_path):
         with pytest.raises(ConfigurationError, match="can't be read"):
             load_settings(tmp_path / "none.toml")
 
 
-class TestHostileText:
+class TestMalformedText:
     @settings(derandomize=True, deadline=None, max_examples=150)
     @given(strategies.text(max_size=80), strategies.integers(0, len(TEXT)))
-    def test_a_damaged_text_gives_settings_or_a_clear_error(self, noise, at):
-        damaged = TEXT[:at] + noise + TEXT[at + len(noise) :]
+    def test_corrupted_text_is_parsed_or_rejected_with_configuration_error(
+        self, replacement, at
+    ):
+        damaged = TEXT[:at] + replacement + TEXT[at + len(replacement) :]
         assert self.outcome(damaged)
 
     def outcome(self, text):
-        """Return settings or the text of a refusal; anything else is a failure."""
+        """Return the settings or the error text; any other exception fails the test."""
         try:
             return parse_settings(text)
         except ConfigurationError as error:
@@ -146,13 +149,13 @@
     @pytest.mark.parametrize(
         "text", ["[" * 5000, "a=" + "[" * 5000, "x = 1" + "0" * 5000]
     )
-    def test_deep_or_huge_text_is_refused(self, text):
+    def test_deeply_nested_or_huge_text_is_rejected(self, text):
         with pytest.raises(ConfigurationError):
             parse_settings(text)
 
 
-class TestPage:
-    def test_lists_every_field_with_its_default(self):
+class TestSettingsPage:
+    def test_lists_every_field(self):
         page = Path(__file__).parents[3] / "docs" / "SETTINGS.md"
         rows = re.findall(r"^\| `(\w+)\.(\w+)` \|", page.read_text(), re.MULTILINE)
         expected = [
