--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/__init__.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for operators of a fulmarroad fleet."""
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/__main__.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/__main__.py
@@ -1,4 +1,4 @@
-"""Run the operators' command line by `python -m fulmarroad_ctl`."""
+"""Entry point of `python -m fulmarroad_ctl`."""
 
 from fulmarroad_ctl.cli import main
 
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
@@ -1,4 +1,4 @@
-"""Calls to a router's admin port."""
+"""HTTP client of a router's admin port."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 CONNECT_TIMEOUT_S = 3.0
 ANSWER_TIMEOUT_S = 10.0
-"""Seconds for an answer on top of the wait that was asked for."""
+"""Response timeout in seconds, in addition to the requested wait."""
 
-LARGEST_ANSWER = 64 * 1024 * 1024
-"""Bytes; the tables of 16,000 workspaces are a few megabytes as JSON."""
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+"""Maximum bytes; the tables of 16,000 workspaces are a few megabytes as JSON."""
 
 _HTTP_OK = 200
 _HINTS = {
-    401: "Name the file of the router's admin token by --token_file.",
+    401: "Pass the file with the router's admin token as --token_file.",
     404: "Check the name against `fulmarroadctl status` or the tables.",
-    503: "Wait until the router is ready, or ask another one.",
+    503: "Wait until the router is ready, or query another one.",
 }
 
 
 class AdminClient:
-    """Ask one router on its admin port."""
+    """Send requests to the admin port of one router."""
 
     def __init__(self, url: str, token: str, authority: str = "") -> None:
-        """Take the URL, the bearer token and the PEM file that signs certificates."""
+        """Set URL, bearer token and the PEM file of the certificate authority."""
         self._url = url.rstrip("/")
         self._token = token
         self._authority = authority
@@ -40,12 +40,12 @@
     def get(
         self, path: str, query: Mapping[str, str] | None = None, wait_s: float = 0.0
     ) -> Result[Any, RouterError]:
-        """Return the document at a path, or the error."""
+        """Return the JSON document at a path, or the error."""
         target = f"{path}?{urlencode(query)}" if query else path
         return self._request("GET", target, wait_s)
 
     def post(self, path: str) -> Result[Any, RouterError]:
-        """Return the answer to an order, or the error."""
+        """Post to a path without a body; return the JSON answer or the error."""
         return self._request("POST", path, 0.0)
 
     def _request(
@@ -58,7 +58,7 @@
             "pool": ANSWER_TIMEOUT_S,
         }
         try:
-            with httpcore.ConnectionPool(ssl_context=self._ssl()) as pool:
+            with httpcore.ConnectionPool(ssl_context=self._ssl_context()) as pool:
                 response = pool.request(
                     method,
                     self._url + target,
@@ -72,13 +72,15 @@
             httpcore.UnsupportedProtocol,
             OSError,
         ) as error:
-            return Err(self._unreachable(error))
-        return self._read(response)
+            return Err(self._unreachable_error(error))
+        return self._parse_response(response)
 
-    def _read(self, response: httpcore.Response) -> Result[Any, RouterError]:
+    def _parse_response(self, response: httpcore.Response) -> Result[Any, RouterError]:
         content = response.content
         try:
-            document = json.loads(content) if len(content) <= LARGEST_ANSWER else None
+            document = (
+                json.loads(content) if len(content) <= MAX_RESPONSE_BYTES else None
+            )
         except ValueError:
             document = None
         if response.status == _HTTP_OK and isinstance(document, dict):
@@ -86,8 +88,8 @@
         if response.status == _HTTP_OK:
             return Err(
                 RouterError(
-                    f"{self._url} answered something that is no admin port's answer.",
-                    hint="Name the admin port, not the callers' port, by --admin.",
+                    f"{self._url} did not answer like an admin port.",
+                    hint="Pass the admin port, not the callers' port, as --admin.",
                 )
             )
         reason = document.get("error", "") if isinstance(document, dict) else ""
@@ -98,7 +100,7 @@
             )
         )
 
-    def _unreachable(self, error: Exception) -> RouterError:
+    def _unreachable_error(self, error: Exception) -> RouterError:
         cause = str(error) or type(error).__name__
         return RouterError(
             f"The router at {self._url} gave no answer: {cause}",
@@ -106,7 +108,7 @@
             "default, so run this on the router's VM.",
         )
 
-    def _ssl(self) -> ssl.SSLContext | None:
+    def _ssl_context(self) -> ssl.SSLContext | None:
         if not self._authority:
             return None
         return ssl.create_default_context(cafile=self._authority)
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
@@ -1,4 +1,4 @@
-"""Tables from files on the operator's machine, read as the fleet would read them."""
+"""Tables from local files, parsed in the same way as by the routers."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from fulmarroad_ctl.exceptions import UsageError
 
 DRAFT_VERSION = 1
-"""Stands in for the version, which the publisher gives."""
+"""Placeholder version; the publisher assigns the real one."""
 
 
 def read_tables(routes: str, pools: str) -> Tables:
-    """Return the tables of files; each argument lists files parted by commas.
+    """Read tables from files; each argument lists files separated by commas.
 
     Raise `UsageError` for a file that can't be read and `ConfigurationError` with
     every problem of the tables.
     """
     contents: dict[tuple[TableName, str], bytes] = {}
     for table, files in ((TableName.ROUTES, routes), (TableName.POOLS, pools)):
-        for path in _paths(table, files):
-            contents[table, _part_name(path, contents)] = _read(path)
+        for path in _parse_paths(table, files):
+            contents[table, _unique_part_name(path, contents)] = _read_bytes(path)
     empty = [name for (_, name), content in contents.items() if not content]
     if empty:
         raise ConfigurationError(
@@ -41,28 +41,28 @@
     return parse_tables(DRAFT_VERSION, parts, manifest)
 
 
-def _paths(table: TableName, files: str) -> Sequence[Path]:
+def _parse_paths(table: TableName, files: str) -> Sequence[Path]:
     names = [name.strip() for name in files.split(",") if name.strip()]
     if not names:
         raise UsageError(
             f"No file of the {table} table is named.",
             hint="Name both: --routes routes.toml --pools pools.toml; several files "
-            "are parted by commas.",
+            "are separated by commas.",
         )
     return [Path(name) for name in names]
 
 
-def _read(path: Path) -> bytes:
+def _read_bytes(path: Path) -> bytes:
     try:
         return path.read_bytes()
     except OSError as error:
         raise UsageError(f"{path} can't be read: {error.strerror}.") from error
 
 
-def _part_name(path: Path, taken: dict[tuple[TableName, str], bytes]) -> str:
-    """Return a part's name that shows which file it is."""
-    plain = re.sub(r"[^A-Za-z0-9._-]", "-", path.name).lstrip("._-")[:48] or "part"
+def _unique_part_name(path: Path, taken: dict[tuple[TableName, str], bytes]) -> str:
+    """Return a unique part name that is derived from the file name."""
+    base_name = re.sub(r"[^A-Za-z0-9._-]", "-", path.name).lstrip("._-")[:48] or "part"
     names = {name for _, name in taken}
-    if plain not in names:
-        return plain
-    return f"{plain}-{len(names)}"
+    if base_name not in names:
+        return base_name
+    return f"{base_name}-{len(names)}"
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
@@ -1,4 +1,4 @@
-"""What every router of a running fleet believes, side by side."""
+"""Comparison of the fleet state that each router reports."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     "servers",
 )
 
-MOST_LISTED = 20
-"""Routers up to which each has a line; of more, only those that stand out."""
+MAX_LISTED_ROUTERS = 20
+"""Largest fleet of which all routers are listed; of larger ones only the outliers."""
 
 LATE_S = 0.01
-"""Delay of the event loop from which a router turns callers away."""
+"""Event loop delay in seconds from which a router rejects callers."""
 
 
 def fetch_statuses(addresses: Iterable[str]) -> dict[str, Any]:
-    """Return each router's answer by its address; an error where it gave none."""
+    """Fetch the status of each router by address; an `error` entry if that fails."""
     answers: dict[str, Any] = {}
     for address in addresses:
         reply = AdminClient(f"http://{address}", "").get("/status")
@@ -41,7 +41,7 @@
 
 
 def differing_fields(answers: Mapping[str, Any]) -> list[str]:
-    """Return what the routers that answered do not agree on."""
+    """Return the names of the fields in which the answers of routers differ."""
     rows = [row for row in answers.values() if "error" not in row]
     found = []
     for name, value in (
@@ -55,15 +55,16 @@
 
 
 def fleet_status_lines(answers: Mapping[str, Any]) -> Iterable[str]:
-    """Yield what routers differ in, then a table with a line for each router.
+    """Yield a warning for each differing field, then a table with a row per router.
 
-    In a large fleet only those that stand out are listed, with the number of others.
+    Of more than `MAX_LISTED_ROUTERS` routers the table has only the outliers, and a
+    line gives the number of the others.
     """
     for name in differing_fields(answers):
         yield f"warning: the routers differ in their {name}"
     listed = answers
-    if len(answers) > MOST_LISTED:
-        listed = _outstanding(answers)
+    if len(answers) > MAX_LISTED_ROUTERS:
+        listed = _select_outliers(answers)
         yield f"{len(answers) - len(listed)} of {len(answers)} routers believe the same"
     rows = [COLUMNS, *(_row(address, row) for address, row in listed.items())]
     widths = [max(len(row[n]) for row in rows) for n in range(len(COLUMNS))]
@@ -72,18 +73,18 @@
         yield "  ".join(cells).rstrip()
 
 
-def _outstanding(answers: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the routers that believe something else than most, or run late."""
-    beliefs = {address: _belief(row) for address, row in answers.items()}
-    [(usual, _)] = Counter(beliefs.values()).most_common(1)
+def _select_outliers(answers: Mapping[str, Any]) -> dict[str, Any]:
+    """Return the routers whose state differs from most, or whose event loop is late."""
+    state_keys = {address: _state_key(row) for address, row in answers.items()}
+    [(most_common, _)] = Counter(state_keys.values()).most_common(1)
     return {
         address: row
         for address, row in answers.items()
-        if beliefs[address] != usual or row.get("loop_late_s", 0.0) >= LATE_S
+        if state_keys[address] != most_common or row.get("loop_late_s", 0.0) >= LATE_S
     }
 
 
-def _belief(row: Mapping[str, Any]) -> tuple[Any, ...]:
+def _state_key(row: Mapping[str, Any]) -> tuple[Any, ...]:
     return (
         "error" in row,
         row.get("state"),
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_render.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_render.py
@@ -1,4 +1,4 @@
-"""Plain output of what a router answered; unknown fields are passed over."""
+"""Plain text output of a router's answers; unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -9,16 +9,19 @@
 Document = Mapping[str, Any]
 
 
-def columns(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> Iterator[str]:
-    """Yield aligned lines."""
-    table = [tuple(head), *(tuple(_cell(value) for value in row) for row in rows)]
-    widths = [max(len(row[index]) for row in table) for index in range(len(head))]
+def columns(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> Iterator[str]:
+    """Yield a header line and rows with aligned columns."""
+    table = [
+        tuple(header),
+        *(tuple(_format_cell(value) for value in row) for row in rows),
+    ]
+    widths = [max(len(row[index]) for row in table) for index in range(len(header))]
     for row in table:
         cells = (cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         yield "  ".join(cells).rstrip()
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -27,7 +30,7 @@
 
 
 def status_lines(document: Document) -> Iterator[str]:
-    """Yield the state of a router."""
+    """Yield the lines that show the state of a router."""
     yield (
         f"router {document.get('router')} in {document.get('data_centre')}: "
         f"{document.get('state')}, tables version {document.get('table_version')}"
@@ -57,7 +60,7 @@
 
 
 def explain_lines(document: Document) -> Iterator[str]:
-    """Yield where a call would go now and why."""
+    """Yield the lines that show where a call would be routed now, and why."""
     route, workspace = document.get("route"), document.get("workspace")
     yield f"route {route} of pool {document.get('pool')}"
     if workspace and not document.get("allowed", True):
@@ -69,7 +72,7 @@
         yield "would be refused, not run"
     yield f"because: {document.get('reason')}"
     wait = document.get("estimated_wait_s")
-    yield f"wait: {_cell(wait)} s" if wait is not None else "wait: unknown"
+    yield f"wait: {_format_cell(wait)} s" if wait is not None else "wait: unknown"
     out = document.get("out_of_service") or []
     if out:
         yield f"out of service: {', '.join(out)}"
@@ -95,7 +98,7 @@
 
 
 def audit_line(record: Document) -> str:
-    """Return one audit record as a line."""
+    """Format one audit record as a line."""
     at = datetime.fromtimestamp(float(record.get("at", 0.0)), UTC)
     before = record.get("before") or "nothing"
     after = record.get("after") or "nothing"
@@ -106,13 +109,13 @@
 
 
 def _section(
-    title: str, head: Sequence[str], rows: Sequence[Sequence[Any]]
+    title: str, header: Sequence[str], rows: Sequence[Sequence[Any]]
 ) -> Iterator[str]:
     if not rows:
         return
     yield ""
     yield f"{title}:"
-    for line in columns(head, rows):
+    for line in columns(header, rows):
         yield f"  {line}"
 
 
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
@@ -1,4 +1,4 @@
-"""Tables as a router's admin port shows them, without the hashes of keys."""
+"""Tables from a router's admin port, which omits the hashes of keys."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 def parse_router_tables(document: dict[str, Any]) -> Tables:
-    """Return the tables of an admin port's answer; keys are only counted in it.
+    """Parse the tables of an admin port's answer, which has only numbers of keys.
 
-    Raise `RouterError` if the answer isn't understood.
+    Raise `RouterError` if the answer can't be parsed.
     """
     try:
         for row in document["workspaces"].values():
-            row["key_sha256"] = [_counted(int(row.pop("keys")))]
+            row["key_sha256"] = [_key_count_label(int(row.pop("keys")))]
         return cattrs.structure(document, Tables)
     except Exception as error:
         raise RouterError(
             f"The router's tables could not be read: {type(error).__name__} {error}",
-            hint="Use the fulmarroadctl of the router's own release.",
+            hint="Use fulmarroadctl of the same release as the router.",
         ) from error
 
 
 def with_key_counts(tables: Tables) -> Tables:
-    """Return tables that can be compared with a router's, which hides the hashes."""
+    """Replace key hashes by their number, for comparison with a router's tables."""
     workspaces = {
-        name: evolve(row, key_sha256=(_counted(len(row.key_sha256)),))
+        name: evolve(row, key_sha256=(_key_count_label(len(row.key_sha256)),))
         for name, row in tables.workspaces.items()
     }
     return evolve(tables, workspaces=workspaces)
 
 
-def _counted(keys: int) -> str:
+def _key_count_label(keys: int) -> str:
     return f"{keys} in all"
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
@@ -1,4 +1,4 @@
-"""The binary `fulmarroadctl`."""
+"""Entry point of the `fulmarroadctl` command."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from fulmarroad_ctl.exceptions import EXIT_INVALID, EXIT_OK
 
 OVERVIEW = """\
-fulmarroadctl: look after a fleet of fulmarroad routers.
+fulmarroadctl: manage a fleet of fulmarroad routers.
 
 Commands:
   check    check settings and tables in files, without a router
   diff     show what new tables would change
   status   show a router's state: members, schedulers, servers and their warmth
-  beliefs  show what serving routers believe, side by side
-  explain  show where a call of a route would go now, and why
-  audit    follow the changes that a router sees
-  drain    begin a router's graceful shutdown
+  beliefs  compare the fleet state that serving routers report
+  explain  show where a call of a route would be routed now, and why
+  audit    follow the changes that a router records
+  drain    start a router's graceful shutdown
 
 Which router:
   --settings FILE                     the router's own settings, or
@@ -38,48 +38,48 @@
   fulmarroadctl explain chat --workspace atlas --settings router.toml
   fulmarroadctl audit --settings router.toml --json
 
-Exit codes: 0 done, 1 a difference or a refused call, 2 wrong files or arguments,
-3 the router gave no answer or refused.
+Exit codes: 0 done, 1 a difference or a refused call, 2 invalid files or arguments,
+3 the router did not answer or returned an error.
 """
 
 _HELP = ("--help", "-h", "help")
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one operator command and exit with its code."""
+    """Run one command and exit with its exit code."""
     command = list(sys.argv[1:] if arguments is None else arguments)
     if not command or command[0] in _HELP:
         print(OVERVIEW, end="")
         raise SystemExit(EXIT_OK if command else EXIT_INVALID)
     try:
-        typed = [_as_typed(argument) for argument in command]
-        fire.Fire(Commands(), command=typed, name="fulmarroadctl")
+        quoted = [_quote_argument(argument) for argument in command]
+        fire.Fire(Commands(), command=quoted, name="fulmarroadctl")
     except KeyboardInterrupt:
         raise SystemExit(EXIT_OK) from None
     except FulmarroadError as error:
-        _report(error, as_json="--json" in command)
+        _print_error(error, as_json="--json" in command)
         raise SystemExit(error.exit_code) from None
 
 
-def _as_typed(argument: str) -> str:
-    """Return an argument that fire hands on as it was typed.
+def _quote_argument(argument: str) -> str:
+    """Quote an argument so that fire passes it on unchanged.
 
-    By itself fire reads a route named 1e3 as a number and `a,b` as a tuple.
+    Without quotes fire parses a route named 1e3 as a number and `a,b` as a tuple.
     """
     flag, equals, value = argument.partition("=")
     if argument.startswith("-") and not equals:
         return argument
     if argument.startswith("-"):
-        return f"{flag}={_quoted(value)}"
-    return _quoted(argument)
+        return f"{flag}={_quote_value(value)}"
+    return _quote_value(argument)
 
 
-def _quoted(value: str) -> str:
+def _quote_value(value: str) -> str:
     parsed = fire.parser.DefaultParseValue(value)
     return value if isinstance(parsed, (str, bool)) else repr(value)
 
 
-def _report(error: FulmarroadError, *, as_json: bool) -> None:
+def _print_error(error: FulmarroadError, *, as_json: bool) -> None:
     if not as_json:
         print(f"error: {error.show()}", file=sys.stderr)
         return
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
@@ -1,4 +1,4 @@
-"""The commands of `fulmarroadctl`; each prints plain text, or JSON with `--json`."""
+"""Commands of `fulmarroadctl`; each prints plain text, or JSON with `--json`."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 TOKEN_VARIABLE = "FULMARROAD_ADMIN_TOKEN"
 
 FOLLOW_WAIT_S = 20
-"""Seconds that one question for audit records waits, below the router's own limit."""
+"""Seconds that one audit request waits for records; below the router's own limit."""
 
 
-def _truth(value: bool | str) -> bool:
+def _parse_bool(value: bool | str) -> bool:
     return str(value).lower() not in ("false", "no", "0")
 
 
-def _number(value: int | str) -> int:
+def _parse_whole_number(value: int | str) -> int:
     text = str(value)
     if text.isascii() and text.isdigit():
         return int(text)
@@ -50,9 +50,9 @@
 
 
 class Commands:
-    """Look after a fleet of fulmarroad routers.
+    """Manage a fleet of fulmarroad routers.
 
-    Commands that ask a router take --settings FILE (the router's own settings), or
+    Commands that query a router take --settings FILE (the router's own settings), or
     --admin URL with --token_file FILE, or the environment variables FULMARROAD_ADMIN
     and FULMARROAD_ADMIN_TOKEN. Every command takes --json.
     """
@@ -73,13 +73,13 @@
     ) -> None:
         """Check settings and tables in files, without a router.
 
-        Exit code 0: all good. 2: a fault; every fault is listed.
+        Exit code 0: valid. 2: invalid; all problems are listed.
 
         Args:
-            settings: settings of a router, TOML.
-            routes: files of the routes table, parted by commas; needs --pools.
-            pools: files of the pools table, parted by commas; needs --routes.
-            platform_settings: settings that the users' platform wrote, TOML.
+            settings: TOML settings of a router.
+            routes: files of the routes table, separated by commas; needs --pools.
+            pools: files of the pools table, separated by commas; needs --routes.
+            platform_settings: TOML settings that the users' platform wrote.
             json: print JSON.
 
         """
@@ -92,8 +92,8 @@
         if platform_settings:
             load_platform_settings(Path(platform_settings), metrics_port=0)
         tables = read_tables(routes, pools) if routes or pools else None
-        warnings = _joint_warnings(loaded, tables)
-        counts = _counts(tables) if tables else {}
+        warnings = _cross_check_warnings(loaded, tables)
+        counts = _count_rows(tables) if tables else {}
         if json:
             self._print_json({"valid": True, "counts": counts, "warnings": warnings})
             return
@@ -111,7 +111,7 @@
     ) -> None:
         """Show a router's state: members, schedulers, servers and their warmth.
 
-        Exit code 0: answered. 3: no answer, or refused.
+        Exit code 0: answered. 3: no answer, or an error response.
 
         Args:
             admin: URL of the router's admin port.
@@ -121,16 +121,16 @@
 
         """
         client = self._client(admin, token_file, settings)
-        document = _answer(client.get("/status"))
+        document = _unwrap(client.get("/status"))
         self._show(document, status_lines(document), json)
 
     def beliefs(self, routers: str, json: bool = False) -> None:
-        """Show what serving routers believe, side by side, and where they differ.
+        """Compare the fleet state that serving routers report and show differences.
 
-        Exit code 0: they agree. 1: they differ. 3: a router gave no answer.
+        Exit code 0: they agree. 1: they differ. 3: a router did not answer.
 
         Args:
-            routers: control addresses, HOST:PORT, parted by commas.
+            routers: control addresses, HOST:PORT, separated by commas.
             json: print JSON.
 
         """
@@ -150,10 +150,10 @@
         settings: str = "",
         json: bool = False,
     ) -> None:
-        """Show where a call of a route would go now, and why.
+        """Show where a call of a route would be routed now, and why.
 
-        Exit code 0: it would go somewhere. 1: it would be refused. 3: no answer, or
-        refused, as for a route that the tables lack.
+        Exit code 0: it would be routed. 1: it would be refused. 3: no answer, or an
+        error response, such as for a route that is not in the tables.
 
         Args:
             route: name of the route.
@@ -166,10 +166,10 @@
         """
         client = self._client(admin, token_file, settings)
         query = {"route": route, "workspace": workspace}
-        document = _answer(client.get("/explain", query))
-        goes = document.get("chosen_shard") and document.get("allowed", True)
+        document = _unwrap(client.get("/explain", query))
+        routed = document.get("chosen_shard") and document.get("allowed", True)
         self._show(document, explain_lines(document), json)
-        if not goes:
+        if not routed:
             raise SystemExit(EXIT_DIFFERS)
 
     def audit(
@@ -181,33 +181,33 @@
         settings: str = "",
         json: bool = False,
     ) -> None:
-        """Show changes of tables, members, roles, warmth and states as they come.
+        """Show changes of tables, members, roles, warmth and states as they happen.
 
-        Exit code 0: ended by Ctrl-C or --follow=false. 3: no answer, or refused. With
-        --json each record is one line.
+        Exit code 0: ended by Ctrl-C or --follow=false. 3: no answer, or an error
+        response. With --json each record is one line.
 
         Args:
             after: sequence number after which records are shown.
-            follow: go on with new records; --follow=false ends after those kept.
+            follow: wait for new records; --follow=false ends after the stored ones.
             admin: URL of the router's admin port.
             token_file: file with the admin token.
             settings: the router's settings, in place of the two.
             json: print JSON.
 
         """
-        last, goes_on = _number(after), _truth(follow)
+        last, keep_following = _parse_whole_number(after), _parse_bool(follow)
         client = self._client(admin, token_file, settings)
         wait_s = 0
         while True:
             query = {"after": str(last), "wait_s": str(wait_s)}
-            answer = _answer(client.get("/audit", query, wait_s))
+            answer = _unwrap(client.get("/audit", query, wait_s))
             for record in answer.get("records", []):
                 last = max(last, int(record.get("sequence", 0)))
                 if json:
                     self._print_json(record)
                 else:
                     self._print([audit_line(record)])
-            if not goes_on:
+            if not keep_following:
                 return
             wait_s = FOLLOW_WAIT_S
 
@@ -222,14 +222,14 @@
         settings: str = "",
         json: bool = False,
     ) -> None:
-        """Show what new tables in files would change, against a router or other files.
+        """Compare new tables in files with those of a router or of other files.
 
-        Exit code 0: nothing would change. 1: something would. 2: a fault in the files.
-        3: no answer, or refused. A router gives the number of keys, not the keys.
+        Exit code 0: no change. 1: changes. 2: invalid files. 3: no answer, or an error
+        response. A router returns the number of keys, not the keys.
 
         Args:
-            routes: files of the new routes table, parted by commas.
-            pools: files of the new pools table, parted by commas.
+            routes: files of the new routes table, separated by commas.
+            pools: files of the new pools table, separated by commas.
             against_routes: files of the routes table to compare with.
             against_pools: files of the pools table to compare with.
             admin: URL of the admin port of a router to compare with.
@@ -243,7 +243,7 @@
             old = read_tables(against_routes, against_pools)
         else:
             client = self._client(admin, token_file, settings)
-            old = parse_router_tables(_answer(client.get("/tables")))
+            old = parse_router_tables(_unwrap(client.get("/tables")))
             new = with_key_counts(new)
         changes = diff_tables(old, new)
         leaving = servers_leaving(old, new)
@@ -262,9 +262,9 @@
         settings: str = "",
         json: bool = False,
     ) -> None:
-        """Begin a router's graceful shutdown: no new calls, running ones finish.
+        """Start a router's graceful shutdown: no new calls, running ones finish.
 
-        Exit code 0: begun. 3: no answer, or refused.
+        Exit code 0: started. 3: no answer, or an error response.
 
         Args:
             admin: URL of the router's admin port.
@@ -274,7 +274,7 @@
 
         """
         client = self._client(admin, token_file, settings)
-        document = _answer(client.post("/drain"))
+        document = _unwrap(client.post("/drain"))
         text = "graceful shutdown begun; the process ends when its last call has ended"
         self._show(document, [text], json)
 
@@ -291,7 +291,7 @@
         if not url or not token:
             raise UsageError(
                 "No router is named." if not url else "No admin token is named.",
-                hint="Give --settings FILE, or --admin http://127.0.0.1:PORT and "
+                hint="Use --settings FILE, or --admin http://127.0.0.1:PORT and "
                 f"--token_file FILE, or set {ADMIN_VARIABLE} and {TOKEN_VARIABLE}.",
             )
         return AdminClient(url, token, loaded.tls.authority if loaded else "")
@@ -310,7 +310,7 @@
         self._print([json_module.dumps(document)])
 
 
-def _answer(result: Result[Any, RouterError]) -> Any:
+def _unwrap(result: Result[Any, RouterError]) -> Any:
     if isinstance(result, Err):
         raise result.err_value
     return result.ok_value
@@ -320,8 +320,8 @@
     listen = settings.listen
     if not listen.admin_port:
         raise UsageError(
-            "The settings leave the admin port to chance.",
-            hint="Give --admin http://127.0.0.1:PORT; the router logs its port.",
+            "The settings have admin_port 0, so the port is not known in advance.",
+            hint="Use --admin http://127.0.0.1:PORT; the router logs its port.",
         )
     host = f"[{listen.admin_host}]" if ":" in listen.admin_host else listen.admin_host
     scheme = "https" if settings.admin_uses_tls else "http"
@@ -336,7 +336,7 @@
         raise UsageError(f"The token file {path} can't be read: {error}.") from error
 
 
-def _counts(tables: Tables) -> dict[str, int]:
+def _count_rows(tables: Tables) -> dict[str, int]:
     return {
         "workspaces": len(tables.workspaces),
         "routes": len(tables.routes),
@@ -346,8 +346,10 @@
     }
 
 
-def _joint_warnings(settings: Settings | None, tables: Tables | None) -> list[str]:
-    """Return what is sound in each file but doesn't fit together."""
+def _cross_check_warnings(
+    settings: Settings | None, tables: Tables | None
+) -> list[str]:
+    """Return conflicts between settings and tables that are valid by themselves."""
     if settings is None or tables is None:
         return []
     warnings = []
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/exceptions.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' command line, each with its exit code."""
+"""Errors and exit codes of the command line."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class UsageError(FulmarroadError):
-    """Reject a command line that can't be carried out."""
+    """Report arguments or files that a command can't use."""
 
     exit_code = EXIT_INVALID
 
 
 class RouterError(FulmarroadError):
-    """Report that a router gave no answer, or refused."""
+    """Report that a router did not answer or returned an error."""
 
     exit_code = EXIT_ROUTER_ERROR
--- a/packages/fulmarroad-ctl/tests/test_admin_tls.py
+++ b/packages/fulmarroad-ctl/tests/test_admin_tls.py
@@ -11,13 +11,13 @@
 from fulmarroad_router.settings import TlsSettings
 
 
-async def answer(scope, receive, send):
+async def respond(scope, receive, send):
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b'{"state": "open"}'})
 
 
-def ask(tmp_path, make_url, *, authority):
-    """Serve over TLS on loopback; return what a client of an authority gets."""
+def query(tmp_path, make_url, *, authority):
+    """Serve over TLS; return the result of a client that trusts `authority`."""
     own = trustme.CA()
     certificate = own.issue_cert("127.0.0.1")
     certificate.cert_chain_pems[0].write_to_path(tmp_path / "certificate")
@@ -34,7 +34,7 @@
             bound.append(port)
             ready.set()
 
-        server = HttpServer(answer, "127.0.0.1", 0, tls=tls, on_ready=on_ready)
+        server = HttpServer(respond, "127.0.0.1", 0, tls=tls, on_ready=on_ready)
         async with anyio.create_task_group() as group:
             group.start_soon(server.run)
             await ready.wait()
@@ -48,19 +48,19 @@
 
 class TestAdminOverTls:
     """
-    An operator asks a router across the network. Without TLS, or with a certificate of
-    somebody else taken for good, the token could be read on the way and the fleet
-    drained by whoever read it.
+    Guards against a leak of the admin token when an operator queries a router across
+    the network. Without TLS, or with a client that accepts a certificate of another
+    authority, an attacker could read the token and drain the fleet.
     """
 
-    def test_answers_a_client_that_knows_the_authority(self, tmp_path):
-        result = ask(tmp_path, "https://127.0.0.1:{}".format, authority="own")
+    def test_answers_client_that_trusts_the_authority(self, tmp_path):
+        result = query(tmp_path, "https://127.0.0.1:{}".format, authority="own")
         assert result.ok_value == {"state": "open"}
 
-    def test_a_client_refuses_a_certificate_of_another_authority(self, tmp_path):
-        result = ask(tmp_path, "https://127.0.0.1:{}".format, authority="other")
+    def test_client_rejects_certificate_of_another_authority(self, tmp_path):
+        result = query(tmp_path, "https://127.0.0.1:{}".format, authority="other")
         assert "CERTIFICATE_VERIFY_FAILED" in result.err_value.message
 
-    def test_a_call_in_the_clear_gets_nothing(self, tmp_path):
-        result = ask(tmp_path, "http://127.0.0.1:{}".format, authority="own")
+    def test_plain_http_request_fails(self, tmp_path):
+        result = query(tmp_path, "http://127.0.0.1:{}".format, authority="own")
         assert result.is_err()
--- a/packages/fulmarroad-ctl/tests/test_ctl.py
+++ b/packages/fulmarroad-ctl/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' commands against files and a fake admin port."""
+"""Tests of the `fulmarroadctl` commands with files and a fake admin port."""
 
 from __future__ import annotations
 
@@ -114,7 +114,7 @@
 
 
 class FakeAdmin(BaseHTTPRequestHandler):
-    """Answer as a router's admin port does."""
+    """Respond like a router's admin port."""
 
     def do_GET(self):
         self.server.asked.append(self.path)
@@ -126,8 +126,8 @@
             return self.answer(404, {"error": "The tables have no such route."})
         if url.path == "/audit":
             after = int(query["after"])
-            fresh = [row for row in RECORDS if row["sequence"] > after]
-            return self.answer(200, {"records": fresh})
+            newer = [row for row in RECORDS if row["sequence"] > after]
+            return self.answer(200, {"records": newer})
         return self.answer(200, self.server.documents[url.path])
 
     do_POST = do_GET
@@ -174,7 +174,7 @@
 
 @pytest.fixture
 def run(capsys, files, monkeypatch):
-    """Run a command in the files' directory; return exit code, output and errors."""
+    """Run a command in the directory of `files`; return exit code, stdout, stderr."""
     monkeypatch.chdir(files)
 
     def run(*arguments):
@@ -194,7 +194,7 @@
 
 
 class TestCheck:
-    def test_says_what_is_valid(self, run):
+    def test_reports_valid_settings_and_tables(self, run):
         code, out, _ = run("check", *ROUTER, *TABLES)
         assert code == 0
         assert "settings are valid" in out
@@ -208,13 +208,13 @@
         assert "routes (part routes.toml): route '1e3': repeatable" in err
         assert "route '1e3': timeout: is no field" in err
 
-    def test_gives_problems_as_json(self, run, files):
+    def test_prints_problems_as_json(self, run, files):
         (files / "pools.toml").write_text(POOLS.replace("north", "no/rth"))
         code, out, _ = run("check", *TABLES, "--json")
         assert code == 2
         assert len(json.loads(out)["problems"]) == 2
 
-    def test_warns_of_what_does_not_fit_together(self, run, files):
+    def test_warns_of_conflicts_between_settings_and_tables(self, run, files):
         (files / "routes.toml").write_text(ROUTES + "timeout_s = 3600\n")
         code, out, _ = run("check", *ROUTER, *TABLES)
         assert code == 0
@@ -237,7 +237,7 @@
             (("--settings", "none"), "none can't be read"),
         ],
     )
-    def test_says_what_is_missing(self, run, arguments, expected):
+    def test_names_the_missing_argument_or_file(self, run, arguments, expected):
         code, _, err = run("check", *arguments)
         assert code == 2
         assert expected in err
@@ -250,52 +250,52 @@
         assert "router n1 in north: open, tables version 7" in out
         assert re.search(r"drafting/north/0 +d1 +cold +1 +1 +4", out)
 
-    def test_gives_the_document_as_json(self, run):
+    def test_prints_the_document_as_json(self, run):
         assert json.loads(run("status", *ROUTER, "--json")[1]) == STATUS
 
 
 class TestExplain:
-    def test_says_where_a_call_would_go(self, run, admin):
+    def test_shows_where_a_call_would_be_routed(self, run, admin):
         code, out, _ = run("explain", "1e3", "--workspace", "atlas", *ROUTER)
         assert code == 0
         assert "goes to shard drafting/north/0, scheduled by n2" in out
         assert "out of service: d9" in out
         assert admin.asked == ["/explain?route=1e3&workspace=atlas"]
 
-    def test_a_refused_call_is_exit_code_1(self, run, admin):
+    def test_refused_call_exits_with_1(self, run, admin):
         admin.documents["/explain"]["chosen_shard"] = None
         code, out, _ = run("explain", "1e3", *ROUTER)
         assert code == 1
         assert "would be refused, not run" in out
 
-    def test_an_unknown_route_is_exit_code_3(self, run):
+    def test_unknown_route_exits_with_3(self, run):
         code, _, err = run("explain", "none", *ROUTER)
         assert code == 3
         assert "404: The tables have no such route" in err
 
 
 class TestAudit:
-    def test_shows_what_is_kept(self, run):
+    def test_shows_stored_records(self, run):
         code, out, _ = run("audit", *ROUTER, "--follow=false", "--after", "1")
         assert code == 0
         assert out == (
             "2 1970-01-01T00:00:00Z data_centre north: in -> out (tables 8)\n"
         )
 
-    def test_follows_from_the_last_record_until_the_router_ends(self, run, admin):
+    def test_follows_from_the_last_record_until_the_router_stops(self, run, admin):
         """
-        An operator follows the trail while the router shuts down. The command ends
-        with an error; were it to wait, the operator would take silence for quiet.
+        Guards against a command that keeps waiting after the router has shut down.
+        The operator would conclude that nothing changes. It must exit with an error.
         """
         answer = FakeAdmin.answer
 
-        def ending(handler, status, document):
+        def answer_once(handler, status, document):
             if len(admin.asked) > 1:
                 return handler.close_connection
             return answer(handler, status, document)
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(FakeAdmin, "answer", ending)
+            patch.setattr(FakeAdmin, "answer", answer_once)
             code, out, _ = run("audit", *ROUTER, "--json")
         assert code == 3
         *records, error = [json.loads(line) for line in out.splitlines()]
@@ -305,11 +305,11 @@
 
 
 class TestDiff:
-    def test_nothing_changes_against_the_router_in_force(self, run):
+    def test_same_tables_as_the_router_show_no_change(self, run):
         code, out, _ = run("diff", *TABLES, *ROUTER)
         assert (code, out) == (0, "nothing would change\n")
 
-    def test_shows_rows_and_servers_that_leave(self, run, files):
+    def test_shows_changed_rows_and_servers_taken_out(self, run, files):
         (files / "pools.toml").write_text(
             POOLS.replace('name = "north"', 'name = "north"\nstate = "out"', 1)
         )
@@ -335,15 +335,15 @@
 
 
 class TestDrain:
-    def test_asks_for_the_shutdown(self, run, admin):
+    def test_requests_the_shutdown(self, run, admin):
         code, out, _ = run("drain", *ROUTER)
         assert code == 0
         assert "graceful shutdown begun" in out
         assert admin.asked == ["/drain"]
 
 
-class TestReachingARouter:
-    def test_a_wrong_token_says_what_to_do(self, run, files):
+class TestConnection:
+    def test_wrong_token_error_has_a_hint(self, run, files):
         wrong = SETTINGS.replace(TOKEN, "another-token-than-that")
         port = re.search(r"admin_port = (\d+)", (files / "router.toml").read_text())[1]
         (files / "router.toml").write_text(wrong.format(port=port))
@@ -360,7 +360,7 @@
         monkeypatch.setenv("FULMARROAD_ADMIN_TOKEN", TOKEN)
         assert run("status")[0] == 0
 
-    def test_a_router_that_does_not_run_is_exit_code_3(self, run, files):
+    def test_router_that_is_not_running_exits_with_3(self, run, files):
         (files / "token").write_text(TOKEN)
         code, out, _ = run(
             "status", "--admin=http://127.0.0.1:1", "--token_file=token", "--json"
@@ -368,13 +368,13 @@
         assert code == 3
         assert "gave no answer" in json.loads(out)["error"]
 
-    def test_an_answer_of_another_port_is_told(self, run, admin):
+    def test_answer_of_another_port_is_an_error(self, run, admin):
         admin.documents["/status"] = b"<html>"
         code, _, err = run("status", *ROUTER)
         assert code == 3
         assert "callers' port" in err
 
-    def test_no_router_named(self, run):
+    def test_missing_router_is_an_error(self, run):
         code, _, err = run("status")
         assert code == 2
         assert "No router is named" in err
@@ -392,15 +392,15 @@
             "servers": {name: {"cold": True} for name in servers},
         }
 
-    def test_routers_that_agree_are_shown_without_a_warning(self):
+    def test_matching_routers_are_shown_without_a_warning(self):
         answers = {"h:1": self.answer(7), "h:2": self.answer(7)}
         lines = list(fleet_status_lines(answers))
         assert len(lines) == 3
         assert "1, 1 cold, 0 leaving" in lines[1]
 
-    def test_a_router_that_is_behind_is_named(self):
-        """One router did not hear of a version. Its callers are served by the old one,
-        and nobody would see that from the others.
+    def test_router_with_old_tables_is_reported(self):
+        """Guards against an unnoticed router with old tables. It missed a version and
+        serves its callers with the old tables, which the other routers don't show.
         """
         answers = {"h:1": self.answer(7), "h:2": self.answer(6, ("s-2",))}
         assert differing_fields(answers) == ["version", "servers"]
@@ -408,9 +408,10 @@
             answers
         )
 
-    def test_of_hundreds_only_those_that_stand_out_are_listed(self):
-        """One of two hundred routers is behind, another is at its processor's limit.
-        Among two hundred lines nobody would see either.
+    def test_large_fleet_lists_only_outliers(self):
+        """Guards against outliers hidden in a long list. One of two hundred routers has
+        old tables and another has reached its CPU limit; operators would overlook both
+        among two hundred lines.
         """
         answers = {f"h:{n}": self.answer(7) for n in range(200)}
         answers["h:42"] = self.answer(6) | {"router": "behind"}
@@ -421,13 +422,13 @@
         assert lines[1] == "197 of 200 routers believe the same"
         assert [line.split()[0] for line in lines[3:]] == ["behind", "busy", "h:99"]
 
-    def test_hundreds_that_agree_take_one_line(self):
+    def test_large_matching_fleet_prints_one_line(self):
         answers = {f"h:{n}": self.answer(7) for n in range(200)}
         assert list(fleet_status_lines(answers)) == [
             "200 of 200 routers believe the same"
         ]
 
-    def test_a_router_without_an_answer_is_exit_code_3(self, run):
+    def test_unreachable_router_exits_with_3(self, run):
         code, out, _ = run("beliefs", "--routers", "127.0.0.1:1")
         assert code == 3
         assert "no answer" in out
@@ -435,14 +436,14 @@
 
 class TestPages:
     def commands(self):
-        """Return the commands in the blocks of the operators' pages."""
+        """Yield the commands in the code blocks of the operators' pages."""
         docs = Path(__file__).parents[3] / "docs"
         for name in ("CTL.md", "OPERATING.md"):
             page = (docs / name).read_text().replace("\\\n", " ")
             for block in re.findall(r"```\n(.*?)```", page, re.DOTALL):
                 yield from block.split("\n")
 
-    def test_every_command_runs_as_written(self, run, files):
+    def test_every_documented_command_runs(self, run, files):
         (files / "routes.toml").write_text(ROUTES.replace("1e3", "chat"))
         for name, text in (("new", ROUTES), ("old", ROUTES), ("a", ROUTES)):
             (files / f"{name}.toml").write_text(text)
@@ -468,7 +469,7 @@
     @pytest.mark.parametrize(
         "arguments", [("statu",), ("explain",), ("status", "--x=1")]
     )
-    def test_a_wrong_command_line_is_exit_code_2(self, run, arguments):
+    def test_invalid_command_line_exits_with_2(self, run, arguments):
         assert run(*arguments)[0] == 2
 
     def test_page_names_every_command_and_exit_code(self):
