--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
@@ -61,8 +61,8 @@
 
 def _unique_part_name(path: Path, taken: dict[tuple[TableName, str], bytes]) -> str:
     """Return a unique part name that is derived from the file name."""
-    base_name = re.sub(r"[^A-Za-z0-9._-]", "-", path.name).lstrip("._-")[:48] or "part"
+    plain = re.sub(r"[^A-Za-z0-9._-]", "-", path.name).lstrip("._-")[:48] or "part"
     names = {name for _, name in taken}
-    if base_name not in names:
-        return base_name
-    return f"{base_name}-{len(names)}"
+    if plain not in names:
+        return plain
+    return f"{plain}-{len(names)}"
--- a/packages/fulmarroad-ctl/tests/test_ctl.py
+++ b/packages/fulmarroad-ctl/tests/test_ctl.py
@@ -284,7 +284,7 @@
 
     def test_follows_from_the_last_record_until_the_router_stops(self, run, admin):
         """
-        Guards against a command that keeps waiting after the router has shut down.
+        Guard against a command that keeps waiting after the router has shut down.
         The operator would conclude that nothing changes. It must exit with an error.
         """
         answer = FakeAdmin.answer
@@ -399,7 +399,7 @@
         assert "1, 1 cold, 0 leaving" in lines[1]
 
     def test_router_with_old_tables_is_reported(self):
-        """Guards against an unnoticed router with old tables. It missed a version and
+        """Guard against an unnoticed router with old tables. It missed a version and
         serves its callers with the old tables, which the other routers don't show.
         """
         answers = {"h:1": self.answer(7), "h:2": self.answer(6, ("s-2",))}
@@ -409,7 +409,7 @@
         )
 
     def test_large_fleet_lists_only_outliers(self):
-        """Guards against outliers hidden in a long list. One of two hundred routers has
+        """Guard against outliers hidden in a long list. One of two hundred routers has
         old tables and another has reached its CPU limit; operators would overlook both
         among two hundred lines.
         """
--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -120,7 +120,7 @@
         self._admission_controller = AdmissionController(
             self._coordinator, self._tables, self._clock
         )
-        self._swim = Swim(self._me(), seed=self._incarnation, now=self._clock())
+        self._swim = Swim(self._own_member(), seed=self._incarnation, now=self._clock())
         self._gossip = Gossip(
             self._swim,
             settings.cluster.secret.encode(),
@@ -129,7 +129,7 @@
             clock=self._clock,
             cut=self._is_cut,
         )
-        self._questions = PeerClient(
+        self._peer_client = PeerClient(
             name,
             self._addresses,
             self._traffic,
@@ -154,8 +154,8 @@
             live=lambda: self._swim.live(centre),
             peers=self._swim.live,
             fetch_from_peer=self._fetch_tables,
-            on_tables=self._take_tables,
-            on_vm_list=self._take_vm_list,
+            on_tables=self._apply_tables,
+            on_vm_list=self._apply_vm_list,
             audit=self._audit,
             seed=self._incarnation,
         )
@@ -324,7 +324,7 @@
             self._metrics.gauge("control.bytes_sent", self._traffic.sent)
             self._metrics.gauge("control.bytes_received", self._traffic.received)
 
-    def _me(self) -> MemberUpdate:
+    def _own_member(self) -> MemberUpdate:
         listen, router = self._settings.listen, self._settings.router
         return MemberUpdate(
             router.name,
@@ -371,14 +371,14 @@
             )
         )
 
-    def _take_tables(self, tables: Tables) -> None:
+    def _apply_tables(self, tables: Tables) -> None:
         index = self._store.index
         if index is not None:
             self._lookup = Lookup(tables, index)
         self._coordinator.send_command(SetTables(tables))
         self._start_in_group(self._gossip.announce_version, tables.version)
 
-    def _take_vm_list(self, listing: VmListing) -> None:
+    def _apply_vm_list(self, listing: VmListing) -> None:
         self._start_in_group(self._gossip.hint, listing.entries)
         vms: dict[str, list[str]] = {}
         for entry in listing.entries:
@@ -390,10 +390,10 @@
     async def _query_member(self, peer: str, message: Any) -> Any:
         wanted = isinstance(message, KeyCopyWanted)
         cls = KeyCopyGiven if wanted else KeyRecorded
-        return await self._questions.ask(peer, message, cls, ASK_TIMEOUT_S)
+        return await self._peer_client.ask(peer, message, cls, ASK_TIMEOUT_S)
 
     async def _fetch_tables(self, peer: str, wanted: TablesWanted) -> TablesGiven:
-        return await self._questions.ask(peer, wanted, TablesGiven, ASK_TIMEOUT_S)
+        return await self._peer_client.ask(peer, wanted, TablesGiven, ASK_TIMEOUT_S)
 
     def _start_in_group(
         self, function: Callable[[Any], Coroutine[Any, Any, None]], value: Any
--- a/packages/fulmarroad-router/tests/test_header_guard.py
+++ b/packages/fulmarroad-router/tests/test_header_guard.py
@@ -18,10 +18,10 @@
 
 @define
 class Timer:
-    """A callback scheduled on a `VirtualLoop`."""
+    """Hold a callback scheduled on a `VirtualLoop`."""
 
     at: float
-    callback: object
+    call: object
     cancelled: bool = False
 
     def cancel(self):
@@ -30,14 +30,14 @@
 
 @define
 class VirtualLoop:
-    """The event loop methods that a connection uses, with a manual clock."""
+    """Provide the event loop methods that a connection uses, with a manual clock."""
 
     now: float = 0.0
     timers: list = field(factory=list)
     started: int = 0
 
-    def call_later(self, delay, callback):
-        timer = Timer(self.now + delay, callback)
+    def call_later(self, delay, call):
+        timer = Timer(self.now + delay, call)
         self.timers.append(timer)
         return timer
 
@@ -53,20 +53,20 @@
             self.timers.remove(first)
             self.now = first.at
             if not first.cancelled:
-                first.callback()
+                first.call()
         self.now = end
 
 
 class Task:
-    """A task that never runs."""
+    """Represent a task that never runs."""
 
-    def add_done_callback(self, callback):
+    def add_done_callback(self, call):
         """Ignore the callback."""
 
 
 @define
 class Transport:
-    """A transport that records what is written and whether it was closed."""
+    """Record what a connection writes and whether it was closed."""
 
     sent: bytes = b""
     closed: bool = False
@@ -120,7 +120,7 @@
     def test_connection_with_incomplete_headers_is_closed(
         self, connection, loop, transport
     ):
-        """Guards against connections that stay open for ever after the VM of a caller
+        """Guard against connections that stay open for ever after the VM of a caller
         fails in the middle of the headers. A few thousand of them use up all file
         descriptors.
         """
@@ -132,7 +132,7 @@
         assert transport.sent == HEADER_TIMEOUT_RESPONSE
 
     def test_slow_bytes_do_not_extend_the_timeout(self, connection, loop, transport):
-        """Guards against callers that send one byte a second for ever. If each byte
+        """Guard against callers that send one byte a second for ever. If each byte
         restarted the timeout, such callers could hold all file descriptors of a router.
         """
         for place in range(5):
@@ -168,7 +168,7 @@
     def test_bytes_received_during_a_pause_are_read_before_the_close(
         self, connection, loop, transport
     ):
-        """Guards against a timeout for headers that arrived in time. The VM of the
+        """Guard against a timeout for headers that arrived in time. The VM of the
         router is paused after the first bytes, the rest arrives during the pause, and
         after it the timer fires before the bytes are read.
         """
@@ -180,7 +180,7 @@
         assert loop.started == 1
 
     def test_pending_response_delays_the_close(self, connection, loop, transport):
-        """Guards against closing a connection with a response still to be sent. A
+        """Guard against closing a connection with a response still to be sent. A
         caller pipelines a second request and stops in its headers. It would take a 408
         response for the response to the first request, and a close would lose the
         first response.
@@ -205,7 +205,7 @@
 
 class TestIdleConnection:
     def test_connection_without_a_request_is_closed(self, connection, loop, transport):
-        """Guards against connections that send nothing, as after a crash of the
+        """Guard against connections that send nothing, as after a crash of the
         caller. Without a timeout their file descriptors would never be freed.
         """
         loop.wait(IDLE_TIMEOUT_S - 0.1)
--- a/packages/fulmarroad-router/tests/test_http_server.py
+++ b/packages/fulmarroad-router/tests/test_http_server.py
@@ -18,7 +18,7 @@
     await send({"type": "http.response.body", "body": b""})
 
 
-async def start_server(group):
+async def listen(group):
     """Start a server and return its port."""
     port = 0
     bound = anyio.Event()
@@ -60,14 +60,14 @@
 
 class TestIdleServer:
     def test_idle_server_sets_no_periodic_timers(self):
-        """Guards against idle servers that wake ten times a second. A router runs four
+        """Guard against idle servers that wake ten times a second. A router runs four
         servers and a fleet has hundreds of routers, so the wake-ups would constantly
         use CPU time on each small VM.
         """
 
         async def test():
             async with anyio.create_task_group() as group:
-                await start_server(group)
+                await listen(group)
                 loop = asyncio.get_running_loop()
                 before = loop.timers
                 await anyio.sleep(0.5)
@@ -79,7 +79,7 @@
 
 class TestAccepting:
     def test_waiting_callers_are_accepted_in_few_iterations(self):
-        """Guards against connections that wait in the accept queue of a busy router.
+        """Guard against connections that wait in the accept queue of a busy router.
 
         If an event loop iteration takes a tenth of a second and accepts one connection,
         a burst of callers waits for seconds in the kernel's queue. The router doesn't
@@ -92,7 +92,7 @@
         async def test():
             nonlocal iterations
             async with anyio.create_task_group() as group:
-                port = await start_server(group)
+                port = await listen(group)
                 callers = [send_request(port) for _ in range(CALLERS)]
                 while not all(has_response(caller) for caller in callers):
                     assert iterations < 10 * CALLERS
