--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_files.py
@@ -29,7 +29,7 @@
     contents: dict[tuple[TableName, str], bytes] = {}
     for table, files in ((TableName.ROUTES, routes), (TableName.POOLS, pools)):
         for path in _parse_paths(table, files):
-            contents[table, _unique_part_name(path, contents)] = _read_bytes(path)
+            contents[table, _part_name(path, contents)] = _read_bytes(path)
     empty = [name for (_, name), content in contents.items() if not content]
     if empty:
         raise ConfigurationError(
@@ -59,8 +59,8 @@
         raise UsageError(f"{path} can't be read: {error.strerror}.") from error
 
 
-def _unique_part_name(path: Path, taken: dict[tuple[TableName, str], bytes]) -> str:
-    """Return a unique part name that is derived from the file name."""
+def _part_name(path: Path, taken: dict[tuple[TableName, str], bytes]) -> str:
+    """Return a part name derived from the file name, with a number if it is taken."""
     plain = re.sub(r"[^A-Za-z0-9._-]", "-", path.name).lstrip("._-")[:48] or "part"
     names = {name for _, name in taken}
     if plain not in names:
