--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
@@ -1,4 +1,4 @@
-"""Measure what scheduling costs: state, processor time and bytes between routers."""
+"""Measure the cost of scheduling: memory, processor time and bytes on the wire."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 SHARD = ShardId("model-01", CENTRE, 0)
 EPOCH = Epoch("entry-vm-000001", 1_800_000_000_000, 17)
 ROUTERS = tuple(f"entry-vm-{n:06d}" for n in range(31))
-"""370 nodes over 12 data centres are 31 in each."""
+"""Routers of one data centre: 370 nodes over 12 data centres are 31 in each."""
 
 BACKLOG_SIZES = (100, 400, 1600)
 LEASE_SIZES = (64, 128, 256)
@@ -46,14 +46,14 @@
 UNITS = 4
 FAR_S = 1e5
 BACKLOGGED = 115
-"""Workspaces that wait at one pool: a tenth of 16,000 over 14 pools."""
+"""Workspaces with waiting demands at one pool: a tenth of 16,000 over 14 pools."""
 
 PEER_SIZES = (2, 8, 23)
 LONGEST_ROUND_S = 600.0
 TICK_S = 0.05
 
 BLOCK_SIZES = (0, 4, 16)
-"""Hashes of prompt blocks in a demand; the router sends 16 at most."""
+"""Numbers of prompt block hashes in a demand; the router sends 16 at most."""
 
 
 def slopes() -> list[Slope]:
@@ -75,7 +75,7 @@
 
 
 def build_book(servers: int, units: int) -> ServerBook:
-    """Return a book whose units are all lent."""
+    """Return a server book whose units are all lent."""
     pool = Pool("model-01", max_concurrency=units, cold_concurrency=units)
     book = ServerBook(pool, _servers(servers), now=0.0, handed_over=True)
     book.set_vms(ROUTERS, 0.0)
@@ -86,7 +86,7 @@
 
 
 def build_scheduler(servers: int, units: int) -> Scheduler:
-    """Return a settled scheduler that every router follows, with nothing to do."""
+    """Return an idle scheduler that every router follows and lends capacity to."""
     book = build_book(servers, units)
     scheduler = Scheduler(SHARD, EPOCH, book, FleetQueue(), live=ROUTERS, now=0.0)
     for router in ROUTERS:
@@ -115,7 +115,7 @@
 
 
 def fill(scheduler: Scheduler, workspaces: int, depth: int = 1) -> list[Grant]:
-    """Queue demands of many workspaces; return the grants made on the way."""
+    """Queue `depth` demands for each workspace; return the grants made meanwhile."""
     grants = []
     for index in range(workspaces * depth):
         demand = _demand(index, index % workspaces)
@@ -127,7 +127,7 @@
 
 
 def request_messages(blocks: int = 0) -> tuple[Any, ...]:
-    """Return the messages of one request, in the order in which they are sent."""
+    """Return the four messages of one request, in sending order."""
     lease = "entry-vm-000001-18fae27693b400-17.123456"
     demand = _demand(1, 1, blocks)
     unit = Unit("model-01-server-0001", 3)
@@ -167,7 +167,10 @@
 
 
 def _cycle_us(workspaces: int) -> float:
-    """Return the time of demand, start, end and grant under a backlog."""
+    """Return the time to handle one demand, start and end under a backlog.
+
+    The end frees a unit, so it includes the next grant. The time is in microseconds.
+    """
     scheduler = build_scheduler(SERVERS, UNITS)
     running = fill(scheduler, workspaces, depth=2)
     router_of = {
@@ -197,7 +200,7 @@
     def build() -> Scheduler:
         scheduler = build_scheduler(SERVERS, max(LEASE_SIZES) // SERVERS)
         if len(fill(scheduler, leases)) != leases:
-            raise ValueError("not every demand was granted")
+            raise ValueError("not all demands were granted")
         return scheduler
 
     return allocated_bytes(build)
@@ -229,9 +232,9 @@
 
 
 def scheduler_slopes() -> list[Slope]:
-    """Return a scheduler's memory and time per backlog, lease and server."""
+    """Return a scheduler's memory and time by backlog, leases and servers."""
 
-    def backlog(workspaces: int, depth: int = 1) -> float:
+    def backlog_bytes(workspaces: int, depth: int = 1) -> float:
         def build() -> Scheduler:
             scheduler = build_scheduler(1, 1)
             fill(scheduler, workspaces, depth)
@@ -241,13 +244,15 @@
 
     return [
         measure("cycle_us", "backlogged workspace", "us", BACKLOG_SIZES, _cycle_us),
-        measure("backlog_bytes", "backlogged workspace", "B", BACKLOG_SIZES, backlog),
+        measure(
+            "backlog_bytes", "backlogged workspace", "B", BACKLOG_SIZES, backlog_bytes
+        ),
         measure(
             "waiting_bytes",
             "further waiting demand",
             "B",
             (100, 400, 1600),
-            lambda size: backlog(10, size // 10),
+            lambda size: backlog_bytes(10, size // 10),
         ),
         measure("lease_bytes", "running lease", "B", LEASE_SIZES, _running_bytes),
         measure("prefix_bytes", "prompt block", "B", PREFIX_SIZES, _prefix_bytes),
@@ -268,10 +273,10 @@
 
 
 def beat_slopes() -> list[Slope]:
-    """Return bytes and time of heartbeats by servers, of answers and of progress."""
+    """Return bytes and time of heartbeats, lends and progress reports."""
     lend = Lend(SHARD, EPOCH, 12345.6789, 23456.789)
 
-    def both_us(servers: int) -> float:
+    def beat_codec_us(servers: int) -> float:
         beat = _beat(servers)
 
         def run() -> None:
@@ -314,7 +319,7 @@
         measure(
             "lend_bytes", "lend", "B", (1, 2, 4), lambda n: len(encode(*[lend] * n))
         ),
-        measure("beat_codec_us", "server", "us", SERVER_SIZES, both_us),
+        measure("beat_codec_us", "server", "us", SERVER_SIZES, beat_codec_us),
         measure("beat_tick_us", "server", "us", SERVER_SIZES, tick_us),
         measure("lend_us", "server", "us", SERVER_SIZES, lend_us),
         measure(
@@ -341,29 +346,30 @@
 
 
 def run_reports(peers: int) -> tuple[float, float, float]:
-    """Return reports a minute, mean entries in one, and seconds until all were told.
+    """Return reports a minute, mean entries in one, and seconds for a full round.
 
-    A scheduler with `BACKLOGGED` workspaces and a number of peers to tell.
+    A round ends when a scheduler with `BACKLOGGED` workspaces has reported each of
+    them to its peers.
     """
     scheduler = build_scheduler(SERVERS, UNITS)
     fill(scheduler, BACKLOGGED, depth=2)
     scheduler.set_peers(peers)
-    untold = {workspace_name(n) for n in range(BACKLOGGED)}
+    unreported = {workspace_name(n) for n in range(BACKLOGGED)}
     reports = entries = 0
     for tick in range(round(LONGEST_ROUND_S / TICK_S)):
         seconds = (tick + 1) * TICK_S
-        told = scheduler.report(seconds)
-        if told is None:
+        sent_report = scheduler.report(seconds)
+        if sent_report is None:
             continue
-        reports, entries = reports + 1, entries + len(told.entries)
-        untold -= {entry.workspace for entry in told.entries}
-        if not untold and reports > 1:
+        reports, entries = reports + 1, entries + len(sent_report.entries)
+        unreported -= {entry.workspace for entry in sent_report.entries}
+        if not unreported and reports > 1:
             return 60 * reports / seconds, entries / reports, seconds
-    raise ValueError(f"{len(untold)} workspaces were never told of.")
+    raise ValueError(f"{len(unreported)} workspaces were never reported.")
 
 
 def round_slopes() -> list[Slope]:
-    """Return how often reports go out, what they hold and how long a round takes."""
+    """Return report rate, entries in a report and length of a round, by peers."""
     found = zip(*map(run_reports, PEER_SIZES), strict=True)
     names = (("reports_minute", "reports"), ("report_entries", "entries"))
     return [
@@ -373,9 +379,9 @@
 
 
 def report_slopes() -> list[Slope]:
-    """Return bytes of a report, and what absorbing it costs, by its entries."""
+    """Return bytes, processor time and memory of service reports, by entries."""
 
-    def absorb_us(entries: int) -> float:
+    def receive_us(entries: int) -> float:
         totals = Totals(SHARD, EPOCH, FleetQueue())
         reports = [report(entries, n) for n in range(60)]
         remaining = iter(reports)
@@ -387,8 +393,8 @@
         return best_us(run, 20)
 
     def codec_us(entries: int) -> float:
-        told = report(entries)
-        return best_us(lambda: [decode(encode(told)) for _ in range(20)], 20)
+        sent_report = report(entries)
+        return best_us(lambda: [decode(encode(sent_report)) for _ in range(20)], 20)
 
     def held(entries: int) -> float:
         def build() -> Totals:
@@ -404,6 +410,6 @@
             "report_bytes", "entry", "B", ENTRY_SIZES, lambda n: len(encode(report(n)))
         ),
         measure("report_codec_us", "entry", "us", ENTRY_SIZES, codec_us),
-        measure("report_absorb_us", "entry", "us", ENTRY_SIZES, absorb_us),
+        measure("report_absorb_us", "entry", "us", ENTRY_SIZES, receive_us),
         measure("peer_entry_bytes", "entry and peer", "B", ENTRY_SIZES, held),
     ]
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_follower.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_follower.py
@@ -1,4 +1,4 @@
-"""Measure the router's side of scheduling: shards it sees, requests it holds."""
+"""Measure the router's side of scheduling: cost by shards and by requests."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from fulmarroad_bench._slopes import Slope, allocated_bytes, best_us, measure
 
 SHARD_SIZES = (28, 84, 336)
-"""Shards of the fleet; 14 pools in 12 data centres, of two shards each, are 336."""
+"""Shards of the fleet; 14 pools in 12 data centres with two shards each are 336."""
 
 
 def _tables(shards: int) -> Tables:
-    """Return tables of 14 pools over 12 data centres with so many shards in all."""
+    """Return tables of 14 pools over 12 data centres with `shards` in total."""
     centres = [CENTRE, *(f"region-2-dc-{n:02d}" for n in range(2, 13))]
     each = max(1, shards // (14 * len(centres)))
     pools = {}
@@ -38,9 +38,9 @@
         )
         pools[f"model-{number:02d}"] = Pool(f"model-{number:02d}", servers=servers)
     tables = Tables(1, {}, {}, pools, {c: DataCentre(c) for c in centres})
-    found = sum(len(shards_of(pool)) for pool in pools.values())
-    if found != shards:
-        raise ValueError(f"{found} shards were made in place of {shards}.")
+    actual = sum(len(shards_of(pool)) for pool in pools.values())
+    if actual != shards:
+        raise ValueError(f"the tables have {actual} shards, expected {shards}.")
     return tables
 
 
@@ -63,18 +63,20 @@
 
 
 def _grant_all(follower: Follower, count: int, first: int = 0) -> list[Demand]:
-    """Submit so many requests and have them granted; return the demands sent."""
+    """Submit `count` requests and grant them; return the demands sent."""
     demands = []
     for number in range(first, first + count):
         name = f"01234567-89ab-cdef-0123-{number:012d}#1"
-        ask = Ask(name, "model-01", workspace_name(number), 1.0, 200.0, 0.0, 60.0)
-        for row in follower.submit(ask, 0.0):
+        submission = Ask(
+            name, "model-01", workspace_name(number), 1.0, 200.0, 0.0, 60.0
+        )
+        for row in follower.submit(submission, 0.0):
             if isinstance(row, SendTo) and isinstance(row.message, Demand):
                 demands.append(row.message)
     for demand in demands:
         _grant_one(follower, demand)
     if len(demands) != count or follower.running != count:
-        raise ValueError(f"{follower.running} of {count} requests run.")
+        raise ValueError(f"{follower.running} of {count} requests are running.")
     return demands
 
 
@@ -92,8 +94,8 @@
     return f"entry-vm-000001-18fae27693b400-17.{demand_id[-14:-2]}"
 
 
-def _end_all(follower: Follower, count: int, first: int) -> None:
-    """Take requests through all that the router's side does for them."""
+def _complete_all(follower: Follower, count: int, first: int) -> None:
+    """Run requests through every step of the router's side, from demand to end."""
     for demand in _grant_all(follower, count, first):
         shard, lease_id = demand.shard, _lease_id(demand.demand_id)
         follower.started(lease_id, 0.0)
@@ -106,14 +108,14 @@
     return f"m{shard.pool[-2:]}-{shard.data_centre}-{shard.index:04d}"
 
 
-def _most_roles(tables: Tables) -> int:
-    """Return the most schedulers that fall to one router."""
+def _max_roles(tables: Tables) -> int:
+    """Return the largest number of schedulers assigned to one router."""
     held = Counter(_follower(tables).schedulers.values())
     return max(held.values())
 
 
 def slopes() -> list[Slope]:
-    """Return memory by shards and leases, and the time of changes and requests."""
+    """Return memory by shards and leases, and time of VM changes and requests."""
     all_tables = {size: _tables(size) for size in SHARD_SIZES}
 
     def change_us(shards: int) -> float:
@@ -121,10 +123,10 @@
         follower, live = _follower(tables), _live(tables)
         return best_us(lambda: follower.set_live(live, 1.0))
 
-    def asks_us(count: int) -> float:
+    def request_us(count: int) -> float:
         follower = _follower(all_tables[28])
         numbers = iter(range(0, 100 * count, count))
-        return best_us(lambda: _end_all(follower, count, next(numbers)))
+        return best_us(lambda: _complete_all(follower, count, next(numbers)))
 
     def leases(count: int) -> float:
         tables = _tables(28)
@@ -146,12 +148,12 @@
         ),
         measure("assignment_us", "shard of the fleet", "us", SHARD_SIZES, change_us),
         measure("follower_lease_bytes", "running lease", "B", LEASE_SIZES, leases),
-        measure("follower_us", "request", "us", LEASE_SIZES, asks_us),
+        measure("follower_us", "request", "us", LEASE_SIZES, request_us),
         measure(
             "most_roles",
             "shard of the fleet",
             "roles",
             SHARD_SIZES,
-            lambda size: _most_roles(all_tables[size]),
+            lambda size: _max_roles(all_tables[size]),
         ),
     ]
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_size.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_size.py
@@ -1,4 +1,4 @@
-"""The fleet that the capacity page is worked out for."""
+"""Size of the fleet for which docs/CAPACITY-LIBRARY.md states the needs."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @frozen
 class FleetSize:
-    """Hold a fleet's size; what follows from it is worked out here.
+    """Hold a fleet's size and derive the sizes of its parts.
 
-    Pools, data centres and routers are taken as equal. `request_s` is the time of one
-    request: tokens of an answer times 62 ms between tokens, and the first token.
+    Pools, data centres and routers are assumed to be equal. `request_s` is the duration
+    of one request: the time to the first token plus 62 ms for each token of the answer.
     """
 
     nodes: int = 370
@@ -34,28 +34,28 @@
 
     @property
     def tokens_of_request(self) -> float:
-        """Return the tokens of a mean answer."""
+        """Return the mean number of tokens of an answer."""
         return self.tokens_s / self.requests_s
 
     @property
     def request_s(self) -> float:
-        """Return how long a mean request runs, in seconds."""
+        """Return the mean duration of a request, in seconds."""
         return self.first_token_s + self.tokens_of_request * self.token_s
 
     @property
     def running(self) -> float:
-        """Return how many requests run at once in the fleet."""
+        """Return the mean number of requests that run concurrently in the fleet."""
         return self.requests_s * self.request_s
 
     @property
     def shards_of_pool(self) -> int:
-        """Return the shards of one pool, spread evenly over the data centres."""
+        """Return the number of shards of one pool, equal in every data centre."""
         servers = self.servers / self.models / self.centres
         return self.centres * math.ceil(servers / self.shard_servers)
 
     @property
     def shards_of_centre(self) -> int:
-        """Return the shards of one data centre, of all pools together."""
+        """Return the number of shards of all pools in one data centre."""
         return self.models * self.shards_of_pool // self.centres
 
     @property
@@ -65,17 +65,17 @@
 
     @property
     def nodes_of_centre(self) -> float:
-        """Return the routers of one data centre, each of which follows its shards."""
+        """Return the mean number of routers in a data centre; all follow its shards."""
         return self.nodes / self.centres
 
     @property
     def roles_of_node(self) -> float:
-        """Return the mean number of schedulers that a router holds."""
+        """Return the mean number of schedulers that one router runs."""
         return self.models * self.shards_of_pool / self.nodes
 
     @property
     def schedulers_of_pool(self) -> int:
-        """Return the schedulers of one pool: one for each shard."""
+        """Return the number of schedulers of one pool: one for each shard."""
         return self.shards_of_pool
 
     @property
@@ -85,14 +85,14 @@
 
     @property
     def units_of_pool(self) -> int:
-        """Return the requests that run at once in one pool."""
+        """Return the number of requests that run concurrently in one pool."""
         return math.ceil(self.running / self.models)
 
     @property
     def rate_of_pool(self) -> float:
-        """Return the tokens a second of one pool."""
+        """Return the token rate of one pool, per second."""
         return self.tokens_s / self.models
 
 
 TARGET_FLEET = FleetSize()
-"""The size that the fleet is built towards."""
+"""Size of the fleet that the library is designed for."""
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
@@ -1,4 +1,4 @@
-"""Measure what routers hold of tables, members, keys, audit and waiting requests."""
+"""Measure tables, membership, keys, audit trail and admission of a router."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 SETTLE_PERIODS = 2
 PROBE_PERIODS = 3
 TICK_S = 0.1
-"""Ten ticks in each probe period of a second, as the gossip task does."""
+"""Ten ticks in each probe period of one second, as in the gossip task."""
 
 UDP_OVERHEAD_BYTES = 28
 CENTRES = 12
 PARTS = 63
-"""Parts of the table of routes; one more holds the pools."""
+"""Number of parts of the routes table; one more part holds the pools."""
 
 
 def slopes() -> list[Slope]:
@@ -70,7 +70,7 @@
 
 
 def workspace_name(index: int) -> str:
-    """Return a name of 16 letters."""
+    """Return a workspace name of 16 characters."""
     return f"workspace-{index:06d}"
 
 
@@ -106,7 +106,7 @@
 
 
 def build_store(workspaces: int = 1, servers: int = 1, routes: int = 1) -> TableStore:
-    """Return a store with tables of these sizes in force."""
+    """Return a table store whose tables in force have these sizes."""
     contents = {
         (TableName.ROUTES, "routes-1"): _routes_text(workspaces, routes),
         (TableName.POOLS, "pools-1"): _pools_text(servers),
@@ -114,17 +114,17 @@
     manifest = build_manifest(1, contents)
     parts = {p.sha256: contents[p.table, p.name] for p in manifest.parts}
     store = TableStore()
-    taken = store.offer(manifest, parts, "service")
-    if not taken.accepted:
-        raise ValueError(f"The tables made here were refused: {taken.problems}")
+    result = store.offer(manifest, parts, "service")
+    if not result.accepted:
+        raise ValueError(f"The generated tables were rejected: {result.problems}")
     return store
 
 
 def table_slopes() -> list[Slope]:
-    """Return memory and time of the store per workspace, server and route.
+    """Return memory and time of the table store per workspace, server and route.
 
-    Everything that a router holds of the tables: parts as read, checked rows, tables
-    and lookups.
+    The memory is all that a router holds of its tables: the parts as read, validated
+    rows, tables and lookup indexes.
     """
     out = []
     for per, sizes in (
@@ -174,7 +174,7 @@
 
 
 def _version(number: int, workspaces: int) -> tuple[Manifest, dict[str, bytes]]:
-    """Return tables cut into parts, of which each version changes the first."""
+    """Return a version of tables in parts; each version changes only the first part."""
     each = workspaces // PARTS
     contents = {
         (TableName.ROUTES, f"routes-{n}"): _routes_text(each, 0, first=n * each)
@@ -187,14 +187,14 @@
 
 
 def _change_us(workspaces: int) -> float:
-    """Return the time in which a version is taken that changes one part of 64."""
+    """Return the time to accept a version that changes one of 64 parts, in us."""
     store = TableStore()
     offers = [_version(number, workspaces) for number in range(1, REPEATS + 2)]
     store.offer(*offers[0], "service")
-    coming = iter(offers[1:])
-    spent = best_us(lambda: store.offer(*next(coming), "service"))
+    remaining = iter(offers[1:])
+    spent = best_us(lambda: store.offer(*next(remaining), "service"))
     if store.version != REPEATS + 1:
-        raise ValueError("A version made here was refused.")
+        raise ValueError("A generated table version was rejected.")
     return spent
 
 
@@ -208,7 +208,7 @@
 
 
 def index_slopes() -> list[Slope]:
-    """Return memory of the lookups per workspace, and the time of one call's two."""
+    """Return memory of the lookup index, and the time of the two lookups of a call."""
 
     def lookup_us(size: int) -> float:
         index = RouteIndex(_tables(size))
@@ -243,7 +243,7 @@
 
 
 def build_swim(index: int, members: int) -> Swim:
-    """Return a member that knows all the others, as after it joined."""
+    """Return a member that knows all other members, as after joining."""
     swim = Swim(_member(index), seed=index, now=0.0)
     others = tuple(_member(n) for n in range(members) if n != index)
     page = MembersGiven(0, others[0].router, 0, others, others[-1].router)
@@ -253,10 +253,10 @@
 
 
 def run_probes(members: int) -> tuple[int, int, float]:
-    """Return packets and bytes that a quiet fleet sends, and microseconds it takes.
+    """Return packets, bytes and microseconds of `PROBE_PERIODS` probe periods.
 
-    The time is the fastest period's, times the periods. All for `PROBE_PERIODS` probe
-    periods of all members together, sealed and opened as on the wire.
+    They are totals of all members while membership doesn't change; packets are sealed
+    and opened as on the wire. The time is the fastest period's, times the periods.
     """
     fleet = {_member(n).router: build_swim(n, members) for n in range(members)}
     seal = PacketSeal(b"s" * 32)
@@ -265,15 +265,15 @@
     def second(first_tick: int) -> None:
         for tick in range(first_tick, first_tick + 10):
             now = tick * TICK_S
-            mail = deque(row for swim in fleet.values() for row in swim.tick(now))
-            while mail:
-                row = mail.popleft()
+            pending = deque(row for swim in fleet.values() for row in swim.tick(now))
+            while pending:
+                row = pending.popleft()
                 packet = seal.seal(row.message)
                 count[0] += 1
                 count[1] += len(packet) + UDP_OVERHEAD_BYTES
-                mail.extend(fleet[row.router].handle(seal.open(packet), now))
+                pending.extend(fleet[row.router].handle(seal.open(packet), now))
 
-    # The first periods spread what each says of itself at its start.
+    # In the first periods, each member also announces itself to the others.
     for period in range(SETTLE_PERIODS):
         second(10 * period)
     count[:] = [0, 0]
@@ -283,7 +283,7 @@
 
 
 def swim_slopes() -> list[Slope]:
-    """Return memory per member, and packets, bytes and time of a member's period."""
+    """Return memory per member, and packets, bytes and time per probe period."""
     packets, traffic, times = [], [], []
     for members in MEMBER_SIZES:
         sent, total, spent_us = run_probes(members)
@@ -326,7 +326,7 @@
 
 
 def build_keys(count: int) -> KeyStore:
-    """Return a group member's store with so many finished keys."""
+    """Return the key store of a group member with `count` finished keys."""
     vms = ("entry-vm-000001", "entry-vm-000002", "entry-vm-000003")
     limits = KeyLimits(max_per_workspace=count)
     store = KeyStore(vms[0], "dc", limits, now=0.0, first_fleet=True)
@@ -335,12 +335,12 @@
         store.start(_key_start(index), 1.0)
         store.finish(_key_finish(index), 2.0)
     if len(store) != count:
-        raise ValueError(f"{len(store)} of {count} keys were recorded.")
+        raise ValueError(f"Only {len(store)} of {count} keys were recorded.")
     return store
 
 
 def key_slopes() -> list[Slope]:
-    """Return memory and time per key at one group member, without the kept answer."""
+    """Return memory and time per key at a group member, without the stored answer."""
     return [
         measure(
             "key_bytes",
@@ -357,7 +357,7 @@
 
 
 def _key_wire_bytes(count: int) -> int:
-    """Return the bytes of requests and replies with one group member."""
+    """Return the bytes of requests to one group member and its replies."""
     vms = ("entry-vm-000001", "entry-vm-000002", "entry-vm-000003")
     store = KeyStore(vms[0], "dc", KeyLimits(), now=0.0, first_fleet=True)
     store.set_vms(vms, 0.0)
@@ -370,7 +370,7 @@
 
 
 def build_trail(count: int) -> AuditTrail:
-    """Return a trail with so many records."""
+    """Return an audit trail with `count` records."""
     trail = AuditTrail(clock=lambda: 1.8e9)
     for index in range(count):
         trail.record(
@@ -404,7 +404,7 @@
 
 
 def build_admission(count: int) -> Admission:
-    """Return an admission with so many requests that wait, each of a workspace."""
+    """Return an admission with `count` waiting requests, one per workspace."""
     admission = Admission(max_waiting=4 * count)
     route = Route("chat", "/v1/chat/completions", "model")
     for index in range(count):
@@ -415,7 +415,7 @@
 
 
 def admission_slopes() -> list[Slope]:
-    """Return memory per waiting request, and the time to let one in."""
+    """Return memory per waiting request, and the time to admit it to the queue."""
     return [
         measure(
             "admission_bytes",
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
@@ -1,4 +1,4 @@
-"""Work out from slopes what a node of a large fleet needs, each step in sight."""
+"""Compute the needs of one node of a large fleet from slopes, term by term."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from fulmarroad_bench._slopes import Slope
 
 FRAME_BYTES = FRAME_OVERHEAD_BYTES
-"""gRPC prefix, HTTP/2, TCP and IP headers of a frame, as the routers count them."""
+"""gRPC prefix, HTTP/2, TCP and IP headers of a frame, as routers count them."""
 
 BEATS_S = 1 / HEARTBEAT_S
-"""Heartbeats a second of each scheduler to each of its followers."""
+"""Heartbeats per second from each scheduler to each of its followers."""
 
 TICKS_S = 20.0
-"""Ticks a second of each scheduler."""
+"""Ticks per second of each scheduler."""
 
 DAY_S = 86_400.0
 TABLE_PARTS = 64
-REPEATS_OF_NEWS = 18
-"""Times that each member repeats an update among 370: twice log2, rounded up."""
+UPDATE_REPEATS = 18
+"""Times that each of 370 members repeats an update: twice log2, rounded up."""
 
-DEAD_KEPT = 67
-"""Replaced VMs remembered for two hours: 800 / 12."""
+DEAD_MEMBERS_KEPT = 67
+"""Replaced VMs still held: 800 a day, each kept for two hours, are 800 / 12."""
 
 PROMPT_BLOCKS = 8
-"""The most a demand carries; how long prompts will be is not known."""
+"""Maximum prompt block hashes of a demand; real prompt lengths are unknown."""
 
 AUDIT_RECORDS = 4096
 KEYS_KEPT = 16_384
@@ -40,12 +40,12 @@
 PREFIX_BLOCKS = 4096
 
 LIMITS = {"sent": 7000.0, "received": 7000.0, "us": 43_000.0, "bytes": 32e6}
-"""7 KB/s, 4.3% of a core in microseconds a second, 32 MB."""
+"""7 KB/s in each direction, 4.3% of a core in microseconds per second, and 32 MB."""
 
 
 @frozen
 class CostTerm:
-    """Hold one line of arithmetic: a role's need of one kind, for a mean node."""
+    """Hold one product of the calculation: a role's need of one kind, mean of nodes."""
 
     role: str
     kind: str  # sent or received (bytes a second), us (a second) or bytes (held)
@@ -54,7 +54,7 @@
     value: float
 
 
-class _Sheet:
+class _CostSheet:
     def __init__(self, slopes: Sequence[Slope]) -> None:
         self._slopes = {slope.name: slope for slope in slopes}
         self.rows: list[CostTerm] = []
@@ -67,12 +67,12 @@
         return slope.fixed + slope.each * size
 
     def measured(self, name: str, size: int) -> float:
-        """Return the value measured at a size, where no line goes through them."""
+        """Return the value measured at a size, for costs that aren't linear."""
         slope = self._slopes[name]
         return slope.values[slope.sizes.index(size)]
 
     def add(self, role: str, kind: str, what: str, *factors: float) -> float:
-        """Add a product to the sheet and return it."""
+        """Add the product of the factors as a term and return it."""
         text = " x ".join(f"{factor:,.6g}" for factor in factors)
         value = math.prod(factors)
         self.rows.append(CostTerm(role, kind, what, text, value))
@@ -80,8 +80,8 @@
 
 
 def cost_terms(slopes: Sequence[Slope], size: FleetSize) -> list[CostTerm]:
-    """Return every line, for a node that holds the mean number of schedulers."""
-    sheet = _Sheet(slopes)
+    """Return all cost terms, for a node with the mean number of schedulers."""
+    sheet = _CostSheet(slopes)
     _accepting(sheet, size)
     _scheduling(sheet, size)
     _membership(sheet, size)
@@ -91,7 +91,7 @@
     return sheet.rows
 
 
-def _accepting(sheet: _Sheet, size: FleetSize) -> None:
+def _accepting(sheet: _CostSheet, size: FleetSize) -> None:
     role, rate = "accepting", size.requests_s / size.nodes
     asked = sheet.at("asked_bytes", PROMPT_BLOCKS) + 3 * FRAME_BYTES
     grant = sheet.at("grant_bytes", 1) + FRAME_BYTES
@@ -117,8 +117,8 @@
     sheet.add(role, "bytes", "waiting", MAX_WAITING, sheet.each("admission_bytes"))
 
 
-def _progress(sheet: _Sheet, size: FleetSize) -> tuple[float, float]:
-    """Return the reports a second and the bytes of all shards' in one round."""
+def _progress(sheet: _CostSheet, size: FleetSize) -> tuple[float, float]:
+    """Return progress rounds per second, and bytes of one round over all shards."""
     leases = size.running / size.nodes
     interval = progress_interval(round(leases))
     shards = size.shards_of_centre
@@ -126,7 +126,7 @@
     return 1 / interval, leases * sheet.each("progress_bytes") + shards * fixed
 
 
-def _scheduling(sheet: _Sheet, size: FleetSize) -> None:
+def _scheduling(sheet: _CostSheet, size: FleetSize) -> None:
     role, roles = "scheduler", size.roles_of_node
     rate = size.requests_s / size.nodes
     beats = roles * size.nodes_of_centre * BEATS_S
@@ -140,8 +140,8 @@
     sheet.add(role, "received", "lends", beats, lend)
     sheet.add(role, "received", "progress reports", *_progress(sheet, size))
     peers = size.schedulers_of_pool - 1
-    told = sheet.measured("report_entries", peers)
-    report = sheet.at("report_bytes", told) + FRAME_BYTES
+    entries = sheet.measured("report_entries", peers)
+    report = sheet.at("report_bytes", entries) + FRAME_BYTES
     reports = roles * peers * sheet.measured("reports_minute", peers) / 60
     sheet.add(role, "sent", "service reports", reports, report)
     sheet.add(role, "received", "service reports", reports, report)
@@ -154,12 +154,12 @@
     leases = size.running / size.nodes
     one = sheet.each("progress_us") + sheet.each("progress_codec_us")
     sheet.add(role, "us", "progress, codec too", rounds, leases, one)
-    one = sheet.at("report_codec_us", told) + sheet.at("report_absorb_us", told)
+    one = sheet.at("report_codec_us", entries) + sheet.at("report_absorb_us", entries)
     sheet.add(role, "us", "service reports", reports, one)
     _scheduler_memory(sheet, size)
 
 
-def _scheduler_memory(sheet: _Sheet, size: FleetSize) -> None:
+def _scheduler_memory(sheet: _CostSheet, size: FleetSize) -> None:
     role, roles = "scheduler", size.roles_of_node
     servers = size.servers_of_shard
     sheet.add(role, "bytes", "servers", roles, servers, sheet.each("server_bytes"))
@@ -176,24 +176,26 @@
     sheet.add(role, "bytes", "prefix map, full", roles, servers, prefixes)
 
 
-def _membership(sheet: _Sheet, size: FleetSize) -> None:
+def _membership(sheet: _CostSheet, size: FleetSize) -> None:
     role = "membership"
     probes = sheet.at("probe_bytes_period", size.nodes)
-    news = 2 * size.replaced_day / DAY_S * REPEATS_OF_NEWS
+    updates = 2 * size.replaced_day / DAY_S * UPDATE_REPEATS
     for kind in ("sent", "received"):
         sheet.add(role, kind, "probes and answers", 1, probes)
-        sheet.add(role, kind, "news of replaced VMs", news, sheet.each("update_bytes"))
+        sheet.add(
+            role, kind, "news of replaced VMs", updates, sheet.each("update_bytes")
+        )
     spent = sheet.at("probe_us_period", size.nodes)
     sheet.add(role, "us", "probes and answers", 1, spent)
     shards = size.models * size.shards_of_pool
     changes = 2 * size.replaced_day / DAY_S
     assigned = sheet.at("assignment_us", shards)
     sheet.add(role, "us", "owners worked out anew", changes, assigned)
-    known = size.nodes + DEAD_KEPT
+    known = size.nodes + DEAD_MEMBERS_KEPT
     sheet.add(role, "bytes", "members", known, sheet.each("member_bytes"))
 
 
-def _configuration(sheet: _Sheet, size: FleetSize) -> None:
+def _configuration(sheet: _CostSheet, size: FleetSize) -> None:
     role, changes = "configuration", size.changes_day / DAY_S
     text = sheet.each("table_text_bytes") * size.workspaces / TABLE_PARTS
     manifest = sheet.at("manifest_bytes", TABLE_PARTS)
@@ -207,16 +209,16 @@
         sheet.add(role, "bytes", f"tables, {per}s", count, one)
 
 
-def _keys(sheet: _Sheet) -> None:
+def _keys(sheet: _CostSheet) -> None:
     sheet.add("keys", "bytes", "records, full", KEYS_KEPT, sheet.each("key_bytes"))
     sheet.add("keys", "bytes", "kept answers, full", 1, KEY_ANSWERS_BYTES)
 
 
-def _records(sheet: _Sheet) -> None:
+def _records(sheet: _CostSheet) -> None:
     one = sheet.each("audit_bytes")
     sheet.add("audit", "bytes", "trail, full", AUDIT_RECORDS, one)
 
 
 def totals(rows: Sequence[CostTerm]) -> Mapping[str, float]:
-    """Return the sum of each kind."""
+    """Return the sum of the terms of each kind."""
     return {kind: sum(row.value for row in rows if row.kind == kind) for kind in LIMITS}
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_checks.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_checks.py
@@ -1,4 +1,4 @@
-"""Hold what callers were told against what the backend servers recorded."""
+"""Check the outcomes that callers saw against the records of backend servers."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 @frozen
 class Checks:
-    """Count what broke a promise; every number should be 0."""
+    """Count violations of the delivery guarantees; every number should be 0."""
 
     wrong_answers: int
     doubled: int
     cut_off: int
     false_not_run: int
-    unheard: int  # completed for the caller, but no backend server ran it
+    unheard: int  # completed for the caller but in no backend server's records
 
     @property
     def held(self) -> bool:
-        """Tell whether every promise held."""
+        """Return whether there is no violation."""
         return not any(
             (
                 self.wrong_answers,
@@ -55,28 +55,28 @@
 def doubled(plains: Iterable[Report]) -> int:
     """Return how many calls reached the plain services more than once.
 
-    No call to them may be repeated, so a second record of an id or of a
-    workspace's key is a second letter to a family.
+    No call to them may be repeated: a second record of a call id, or of the same
+    idempotency key of a workspace, means that a letter was posted twice.
     """
     records = [record for report in plains for record in report["records"]]
     ids = Counter(record["id"] for record in records)
     keys = Counter(
         (record["workspace"], record["key"]) for record in records if record["key"]
     )
-    extra = sum(count - 1 for count in ids.values())
-    by_key = sum(count - 1 for count in keys.values())
-    return max(extra, by_key)
+    repeated_ids = sum(count - 1 for count in ids.values())
+    repeated_keys = sum(count - 1 for count in keys.values())
+    return max(repeated_ids, repeated_keys)
 
 
 def record_ids(reports: Iterable[Report]) -> Iterable[str]:
-    """Return the id of every call that any backend server saw."""
+    """Yield the id of every call in the backend servers' records."""
     for report in reports:
         for record in report["records"]:
             yield record["id"]
 
 
 def starts_in(reports: Iterable[Report], since: float, until: float) -> list[float]:
-    """Return when calls began at these servers within a time, sorted."""
+    """Return the sorted start times of calls after `since` and up to `until`."""
     return sorted(
         record["start"]
         for report in reports
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
@@ -1,4 +1,4 @@
-"""Bring a scenario's faults about, in stand-ins and by signals to own children."""
+"""Inject a scenario's faults through stand-ins and signals to child processes."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 )
 from fulmarroad_bench._scenario import Fault
 
-SPREAD_POLL_S = 0.05
-SPREAD_LIMIT_S = 15.0
-"""Seconds after which a version that isn't in force everywhere counts as this long."""
+PROPAGATION_POLL_S = 0.05
+PROPAGATION_LIMIT_S = 15.0
+"""Seconds to wait for a version on every router; recorded if it takes longer."""
 DRAIN_S = 40.0
-"""Seconds that a replaced router may take to finish what it has accepted."""
+"""Seconds that a replaced router may take to finish its accepted calls."""
 
 
 @define(eq=False)
 class FaultInjector:
-    """Do what the faults of a scenario say, and keep when."""
+    """Inject the faults of a scenario and record when each happened."""
 
     local_fleet: LocalFleet
     balancer: Balancer
@@ -43,17 +43,17 @@
     restored_at: float = 0.0
     propagation_times: list[float] = field(factory=list)
     exit_codes: list[int | None] = field(factory=list)
-    marks: list[tuple[float, str]] = field(factory=list)
+    injected: list[tuple[float, str]] = field(factory=list)
     paused: set[str] = field(factory=set)
 
     async def run(self, faults: tuple[Fault, ...], began: float) -> None:
-        """Bring each fault about at its time."""
+        """Inject each fault at its time; `began` is in monotonic seconds."""
         for fault in faults:
             await anyio.sleep(max(0.0, began + fault.at_s - time.monotonic()))
-            self.marks.append((time.monotonic(), fault.kind))
-            await self._makers()[fault.kind](fault)
+            self.injected.append((time.monotonic(), fault.kind))
+            await self._handlers()[fault.kind](fault)
 
-    def _makers(self) -> dict[str, Callable[[Fault], Awaitable[None]]]:
+    def _handlers(self) -> dict[str, Callable[[Fault], Awaitable[None]]]:
         return {
             "engine": self._engine,
             "plain": self._plain,
@@ -95,16 +95,16 @@
     async def _table(self, fault: Fault) -> None:
         self.version += 1
         await self.local_fleet.put_tables(self.version, sorted(self.out))
-        self.group.start_soon(self._watch_spread, self.version, time.monotonic())
+        self.group.start_soon(self._record_propagation, self.version, time.monotonic())
 
-    async def _watch_spread(self, version: int, since: float) -> None:
-        """Note how long a version takes until it is in force on every router."""
-        missing = set(self.local_fleet.rows) - self.paused
-        while missing and time.monotonic() - since < SPREAD_LIMIT_S:
-            for name in sorted(missing):
+    async def _record_propagation(self, version: int, since: float) -> None:
+        """Record how long a version takes to be in force on every router."""
+        pending = set(self.local_fleet.rows) - self.paused
+        while pending and time.monotonic() - since < PROPAGATION_LIMIT_S:
+            for name in sorted(pending):
                 if await self._has_version(name, version):
-                    missing.discard(name)
-            await anyio.sleep(SPREAD_POLL_S)
+                    pending.discard(name)
+            await anyio.sleep(PROPAGATION_POLL_S)
         self.propagation_times.append(time.monotonic() - since)
 
     async def _has_version(self, name: str, version: int) -> bool:
@@ -119,19 +119,21 @@
     async def _cut(self, fault: Fault) -> None:
         rows = sorted(self.local_fleet.rows.values(), key=lambda row: row.name)
         if fault.sides == "halves":
-            one = {row.name for row in rows[::2]}
+            first_side = {row.name for row in rows[::2]}
         else:
             centre = self.local_fleet.layout.data_centres[fault.target]
-            one = {row.name for row in rows if row.data_centre == centre}
-        other = {row.name for row in rows} - one
+            first_side = {row.name for row in rows if row.data_centre == centre}
+        second_side = {row.name for row in rows} - first_side
         for row in rows:
-            await self._cut_one(row, other if row.name in one else one)
+            await self._block_peers(
+                row, second_side if row.name in first_side else first_side
+            )
 
     async def _heal(self, fault: Fault) -> None:
         for row in list(self.local_fleet.rows.values()):
-            await self._cut_one(row, set())
+            await self._block_peers(row, set())
 
-    async def _cut_one(self, row: RouterRow, peers: set[str]) -> None:
+    async def _block_peers(self, row: RouterRow, peers: set[str]) -> None:
         await order_router(
             row.admin_address, "/bench/cut", {"peers": sorted(peers)}, ADMIN_TOKEN
         )
@@ -152,12 +154,12 @@
         )
 
     async def _replace_one(self, old: RouterRow) -> None:
-        """Start a router with no memory, then end the old one gracefully."""
-        fresh = router_rows([(f"{old.name}-new", old.data_centre)])[0]
-        child = await self.local_fleet.start_router(fresh)
+        """Start a router with empty state, then stop the old one gracefully."""
+        replacement = router_rows([(f"{old.name}-new", old.data_centre)])[0]
+        child = await self.local_fleet.start_router(replacement)
         await self.local_fleet.put_vms(leaving=[old.name])
-        await wait_ready(child, fresh.admin_address)
-        self.balancer.addresses[fresh.name] = fresh.address
+        await wait_ready(child, replacement.admin_address)
+        self.balancer.addresses[replacement.name] = replacement.address
         code = await self.local_fleet.starter.stop(
             self.local_fleet.routers[old.name], DRAIN_S
         )
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_decisions.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_decisions.py
@@ -1,4 +1,4 @@
-"""Measure placements, reports and digests on the real modules, by the fleet's size."""
+"""Measure the real code of placements, reports and digests, by fleet size."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 SLOTS = 128
 CENTRES = 5
 SERVERS_OF_A_ROUTER = 12
-"""Servers that a router has calls at, of all."""
+"""Number of servers at which a router has running calls."""
 
 WORKSPACES_OF_A_ROUTER = 8
 
 
 @frozen
 class DecisionCost:
-    """Hold what one router's decisions and reports cost at a size."""
+    """Hold the cost of one router's placements and reports at a fleet size."""
 
     servers: int
     workspaces: int
@@ -54,7 +54,7 @@
 
 @frozen
 class DigestCost:
-    """Hold what the fleet's digests cost the router that gets them."""
+    """Hold the cost of a digest of the whole fleet to the router that receives it."""
 
     routers: int
     servers: int
@@ -65,7 +65,7 @@
 
 
 def decision_cost(servers: int, workspaces: int) -> DecisionCost:
-    """Measure placements and reports of a router that has calls at every server."""
+    """Measure placements and the report of a router, by servers and workspaces."""
     dispatcher = _dispatcher("router-000", servers)
     demands = [
         Demand(
@@ -79,11 +79,11 @@
         placed = dispatcher.place(demand, now)
         if isinstance(placed, Placement):
             dispatcher.send(demand, placed, now)
-    begun = cpu_s()
+    started = cpu_s()
     for n in range(DECISIONS):
         now += 0.005
         dispatcher.place(demands[n % workspaces], now)
-    place_us = (cpu_s() - begun) / DECISIONS * 1e6
+    place_us = (cpu_s() - started) / DECISIONS * 1e6
     report = _own_report(dispatcher, now)
     codec_us = _mean_us(lambda: unpack_report(pack_report(report)), DECISIONS)
     size = len(pack_report(report))
@@ -91,16 +91,16 @@
 
 
 def digest_cost(routers: int, servers: int, workspaces: int) -> DigestCost:
-    """Measure a digest of the whole fleet at a router that doesn't collect."""
+    """Measure a digest of the whole fleet at a router that isn't the collector."""
     reports = [
         _peer_report(number, servers, workspaces, random.Random(number))
         for number in range(routers)
     ]
     digest = Digest("collector", "", sum_reports((row, 0.1) for row in reports))
     data = pack_digest(digest)
-    me = reports[0].router
-    dispatcher = _dispatcher(me, servers)
-    view = FleetView(me, "centre-0", "10.0.0.1", dispatcher, random.Random(1))
+    receiver = reports[0].router
+    dispatcher = _dispatcher(receiver, servers)
+    view = FleetView(receiver, "centre-0", "10.0.0.1", dispatcher, random.Random(1))
     for row in reports:
         view.book.merge_member(member_of(row, 0.0), 0.0)
     return DigestCost(
@@ -152,7 +152,7 @@
     number: int, servers: int, workspaces: int, source: random.Random
 ) -> PeerReport:
     at = source.sample(range(servers), min(servers, SERVERS_OF_A_ROUTER))
-    by = source.sample(range(workspaces), min(workspaces, WORKSPACES_OF_A_ROUTER))
+    active = source.sample(range(workspaces), min(workspaces, WORKSPACES_OF_A_ROUTER))
     return PeerReport(
         f"router-{number:03d}",
         1,
@@ -164,12 +164,12 @@
         0.1,
         9.0,
         {_server(n): PeerLoad(2, 3_000) for n in at},
-        {f"work{n:04d}": WorkspaceCount(1e5, 9e4) for n in by},
+        {f"work{n:04d}": WorkspaceCount(1e5, 9e4) for n in active},
     )
 
 
 def _mean_us(act: Callable[[], object], times: int) -> float:
-    begun = cpu_s()
+    started = cpu_s()
     for _ in range(times):
         act()
-    return round((cpu_s() - begun) / times * 1e6, 1)
+    return round((cpu_s() - started) / times * 1e6, 1)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_suspects.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_footprint_suspects.py
@@ -1,4 +1,4 @@
-"""Measure what suspects cost a router: fingerprints, packets, memory."""
+"""Measure the cost of suspected requests to a router: time, packets and memory."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 ROUNDS = 2_000
 BODY_BYTES = 17_000
-"""Size of a long prompt's body."""
+"""Size of a request body with a long prompt."""
 
 
 @frozen
 class SuspectCost:
-    """Hold what suspects cost one router."""
+    """Hold the cost of suspected requests to one router."""
 
     fingerprint_us: float  # of a long prompt
-    rows: int  # in one packet, each with three ends
+    rows: int  # in one packet, each with three crashes
     packet_bytes: int
     pack_and_take_us: float
     known: int
@@ -32,34 +32,34 @@
 
 
 def suspect_cost() -> SuspectCost:
-    """Return the cost with as many suspects as a router keeps."""
+    """Measure the cost with the maximum number of suspects that a router keeps."""
     body = bytes(BODY_BYTES)
     target = b"/draft/1"
     fingerprint_us = _each_us(
         lambda: fingerprint_of("coop", "svc.example", "POST", target, body)
     )
     tracemalloc.start()
-    suspects = _full()
+    suspects = _full_suspects()
     known_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
     rows = suspects.pop_updates(MAX_SUSPECTS, 2.0)
-    hearer = Suspects()
+    receiver = Suspects()
 
-    def carry() -> None:
+    def transfer() -> None:
         data = msgpack.packb(pack_suspects(rows))
-        hearer.merge_rows(read_suspects(msgpack.unpackb(data)), 3.0)
+        receiver.merge_rows(read_suspects(msgpack.unpackb(data)), 3.0)
 
     return SuspectCost(
         fingerprint_us,
         len(rows),
         len(msgpack.packb(pack_suspects(rows))),
-        _each_us(carry),
+        _each_us(transfer),
         MAX_RECORDS,
         round(known_kb, 1),
     )
 
 
-def _full() -> Suspects:
+def _full_suspects() -> Suspects:
     suspects = Suspects()
     for number in range(MAX_RECORDS):
         name = number.to_bytes(FINGERPRINT_BYTES, "big")
@@ -69,7 +69,7 @@
 
 
 def _each_us(step: Callable[[], object]) -> float:
-    begun = cpu_s()
+    started = cpu_s()
     for _ in range(ROUNDS):
         step()
-    return round((cpu_s() - begun) / ROUNDS * 1e6, 1)
+    return round((cpu_s() - started) / ROUNDS * 1e6, 1)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_intervals.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_intervals.py
@@ -21,7 +21,7 @@
 
 
 def intersected(left: Sequence[Interval], right: Sequence[Interval]) -> list[Interval]:
-    """Return what two unions have in common."""
+    """Return the intersection of two unions."""
     out: list[Interval] = []
     i = j = 0
     while i < len(left) and j < len(right):
@@ -47,7 +47,7 @@
 
 
 def where_true(steps: Sequence[tuple[float, bool]], end: float) -> list[Interval]:
-    """Return when a step function, given by its changes, is true."""
+    """Return when a step function is true; `steps` are its changes, sorted by time."""
     out = []
     for (at, value), (until, _) in zip(steps, [*steps[1:], (end, False)], strict=True):
         if value and until > at:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_layout.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_layout.py
@@ -1,4 +1,4 @@
-"""Describe a fleet and write its tables, VM list and settings: no network."""
+"""Describe a fleet and generate its tables, VM list and settings."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @frozen
 class WorkspaceRow:
-    """Hold a workspace and the key that its callers send."""
+    """Hold a workspace's name and weight."""
 
     name: str
     weight: float = 1.0
 
     @property
     def key(self) -> str:
-        """Return the bearer key."""
+        """Return the bearer key that the workspace's callers send."""
         return f"key-of-{self.name}"
 
 
 @frozen
 class ServerRow:
-    """Hold a backend server: where it is and listens."""
+    """Hold a backend server's name, data centre and port."""
 
     name: str
     data_centre: str
@@ -43,7 +43,7 @@
 
 @frozen
 class RouterRow:
-    """Hold a router's name, place and ports."""
+    """Hold a router's name, data centre and ports."""
 
     name: str
     data_centre: str
@@ -65,7 +65,7 @@
 
 @define
 class Layout:
-    """Hold a whole fleet."""
+    """Hold the servers, workspaces and table options of a fleet."""
 
     data_centres: tuple[str, ...]
     workspaces: tuple[WorkspaceRow, ...]
@@ -77,7 +77,7 @@
     plain_route: dict[str, Any] = field(factory=dict)
 
     def routes_part(self) -> str:
-        """Return the routes table's part."""
+        """Return the only part of the routes table, as TOML."""
         workspaces = [_workspace(row) for row in self.workspaces]
         draft = {
             "name": "draft",
@@ -101,7 +101,10 @@
     def pools_part(
         self, out: Collection[str] = (), servers_out: Collection[str] = ()
     ) -> str:
-        """Return the pools table's part, some data centres or servers taken out."""
+        """Return the only part of the pools table, as TOML.
+
+        The data centres in `out` and the servers in `servers_out` get the state "out".
+        """
         centres = [
             {"name": name, "state": _state(name in out)} for name in self.data_centres
         ]
@@ -129,7 +132,7 @@
         out: Collection[str] = (),
         servers_out: Collection[str] = (),
     ) -> dict[str, Any]:
-        """Return the order that puts a version at the platform."""
+        """Return the control request that publishes a version at the platform."""
         return {
             "version": version,
             "routes": [self.routes_part()],
@@ -142,7 +145,7 @@
         routers: Collection[RouterRow],
         leaving: Collection[str] = (),
     ) -> bytes:
-        """Return the VM list with these routers."""
+        """Return the VM list of these routers, as TOML."""
         rows = [
             {
                 "name": row.name,
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_measures.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_measures.py
@@ -1,4 +1,4 @@
-"""Compute every measure of a run from what callers and backend servers saw.
+"""Compute the measures of a run from the records of callers and backend servers.
 
 docs/MEASURES.md has the definitions and units.
 """
@@ -24,19 +24,19 @@
 from fulmarroad_bench._load import CallResult
 
 IDLE_TOLERANCE_S = 0.05
-"""Seconds for which a free slot and a waiting request may miss each other.
+"""Seconds that a slot may stay free while a request waits before it counts as idle.
 
-A grant takes a message there and back between routers and a new connection; less
-than this is the way's length, more is work left lying."""
+A grant takes a message in each direction between routers and a new connection; a
+shorter wait is that delay, a longer one means that work was left unassigned."""
 PROMPT_COST = 0.25
-"""Service units of one token of the prompt, as in the pools table."""
+"""Service units of one prompt token, as in the pools table."""
 
 Report = dict[str, Any]
 
 
 @frozen
 class Run:
-    """Hold what was seen of one run; times are monotonic seconds."""
+    """Hold the observations of one run; times are monotonic seconds."""
 
     start: float
     end: float
@@ -51,18 +51,18 @@
 
     @property
     def window(self) -> list[Interval]:
-        """Return the measured time."""
+        """Return the measured period."""
         return [(self.start, self.end)]
 
     def out_intervals(self, server: str) -> list[Interval]:
-        """Return when a server's data centre was taken out."""
+        """Return when the server's data centre was out of service."""
         if not self.removed_centre or self.centre_of.get(server) != self.removed_centre:
             return []
         return [(self.removed_at, self.restored_at or self.end)]
 
 
 def service_events(run: Run) -> list[ServiceEvent]:
-    """Return the weighted service of model engines as it was given."""
+    """Return the weighted service that model engines gave, as recorded."""
     events = []
     for report in run.engines:
         records = report["records"]
@@ -91,7 +91,10 @@
 
 
 def waiting_intervals(run: Run) -> list[tuple[str, Interval]]:
-    """Return, for each model request, when it was sent and not yet run."""
+    """Return each model request's workspace and time from sending to start.
+
+    The wait of a request that never started lasts until its call ended.
+    """
     starts = first_starts(run.engines)
     return [
         (result.workspace, (result.sent_at, starts.get(result.id, result.end_at)))
@@ -101,7 +104,7 @@
 
 
 def backlogged(run: Run) -> dict[str, list[Interval]]:
-    """Return when each workspace had model requests waiting, in the measured time."""
+    """Return when each workspace had model requests waiting in the measured period."""
     by_workspace: dict[str, list[Interval]] = {name: [] for name in run.weights}
     for workspace, interval in waiting_intervals(run):
         by_workspace[workspace].append(interval)
@@ -117,23 +120,26 @@
 
 
 def utilisation(run: Run) -> float:
-    """Return the share of the engines' full throughput that was used."""
+    """Return the share of the engines' full throughput that was used.
+
+    Engines of a removed data centre are left out.
+    """
     work = capacity = 0.0
     for report in run.engines:
         samples = [s for s in report["samples"] if run.start <= s[0] <= run.end]
-        if len(samples) < 2 or _left(run, report):
+        if len(samples) < 2 or _was_removed(run, report):
             continue
         work += samples[-1][3] - samples[0][3]
         capacity += samples[-1][4] - samples[0][4]
     return work / capacity if capacity else 0.0
 
 
-def _left(run: Run, report: Report) -> bool:
+def _was_removed(run: Run, report: Report) -> bool:
     return bool(run.out_intervals(report["name"]))
 
 
 def free_intervals(report: Report, end: float) -> list[Interval]:
-    """Return when an engine could have run one request more at full speed."""
+    """Return when an engine could have run one more request at full speed."""
     changes = [(sample[0], 0, sample[2]) for sample in report["samples"]]
     for record in report["records"]:
         if record["state"] != "refused":
@@ -141,44 +147,44 @@
             changes.append((record["end"] or end, -1, -1))
     running = slots = 0
     steps = []
-    for at, change, shown in sorted(changes):
+    for at, change, new_slots in sorted(changes):
         running += change
-        slots = shown if shown >= 0 else slots
+        slots = new_slots if new_slots >= 0 else slots
         steps.append((at, running < slots))
     return where_true(steps, end)
 
 
 def idle_while_waiting(run: Run) -> list[Interval]:
-    """Return when a slot lay free although a request waited, beyond the hand-over."""
+    """Return when a slot was free and a request waited, beyond `IDLE_TOLERANCE_S`."""
     free: list[Interval] = []
     for report in run.engines:
-        mine = free_intervals(report, run.end)
-        gone = run.out_intervals(report["name"])
-        mine = intersected(mine, _without(gone, run.start, run.end))
-        free += trim_starts(mine, IDLE_TOLERANCE_S)
+        free_here = free_intervals(report, run.end)
+        removed = run.out_intervals(report["name"])
+        free_here = intersected(free_here, _outside(removed, run.start, run.end))
+        free += trim_starts(free_here, IDLE_TOLERANCE_S)
     waits = [interval for _, interval in waiting_intervals(run)]
     waiting = merged(trim_starts(waits, IDLE_TOLERANCE_S))
     return intersected(intersected(merged(free), waiting), run.window)
 
 
-def _without(gone: Sequence[Interval], start: float, end: float) -> list[Interval]:
-    """Return the measured time without some intervals."""
+def _outside(removed: Sequence[Interval], start: float, end: float) -> list[Interval]:
+    """Return the time from start to end outside of sorted, disjoint intervals."""
     kept, at = [], start
-    for left, back in gone:
+    for left, back in removed:
         kept.append((at, left))
         at = back
     return merged([*kept, (at, end)])
 
 
 def percentile_ms(seconds: Sequence[float], share: float) -> float:
-    """Return a percentile in milliseconds, 0 of nothing."""
+    """Return a percentile in milliseconds; 0 without values."""
     if not seconds:
         return 0.0
     return round(float(np.percentile(np.array(seconds), share)) * 1000, 1)
 
 
 def measures(run: Run) -> dict[str, Any]:
-    """Return the measures that follow from callers and backend servers alone."""
+    """Return the measures computed from callers and backend servers alone."""
     seen = [r for r in run.results if run.start <= r.sent_at <= run.end]
     checks = check(run.results, run.engines, run.plains)
     outcomes = [result.outcome for result in run.results]
@@ -207,7 +213,7 @@
 
 
 def latencies(results: Sequence[CallResult]) -> dict[str, float]:
-    """Return the times that callers of completed model calls saw."""
+    """Return the latencies of completed model calls, as the callers measured them."""
     done = [r for r in results if r.outcome == "completed" and r.kind == "chat"]
     first = [r.first_at - r.sent_at for r in done]
     whole = [r.end_at - r.sent_at for r in done]
@@ -220,21 +226,21 @@
 
 
 def shift_measures(run: Run) -> dict[str, float | None]:
-    """Return how callers fared while a data centre was out of service."""
+    """Return the measures of calls sent while a data centre was out of service."""
     if not run.removed_centre:
-        empty = ("served_while_leaving_share", "last_work_after_leave_s")
-        return dict.fromkeys((*empty, "p95_steady_ms", "p95_shift_ms"))
+        fields = ("served_while_leaving_share", "last_work_after_leave_s")
+        return dict.fromkeys((*fields, "p95_steady_ms", "p95_shift_ms"))
     back = run.restored_at or run.end
     during = [r for r in run.results if run.removed_at <= r.sent_at < back]
     before = [r for r in run.results if run.start <= r.sent_at < run.removed_at]
     counted = [r for r in during if r.outcome != "left"]
     done = sum(r.outcome == "completed" for r in counted)
-    there = [
+    removed_reports = [
         report
         for report in (*run.engines, *run.plains)
         if run.centre_of.get(report["name"]) == run.removed_centre
     ]
-    starts = starts_in(there, run.removed_at, back)
+    starts = starts_in(removed_reports, run.removed_at, back)
     return {
         "served_while_leaving_share": round(done / len(counted), 4) if counted else 1.0,
         "last_work_after_leave_s": round(starts[-1] - run.removed_at, 3)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_plots.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_plots.py
@@ -1,4 +1,4 @@
-"""Draw what happened in a run as PNG files."""
+"""Plot the course of a run as PNG files."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 from fulmarroad_bench._measures import Run, service_events  # noqa: E402
 
 Mark = tuple[float, str]
-SHOWN_WORKSPACES = 16
+MAX_PLOTTED_WORKSPACES = 16
 
 
 def draw(run: Run, marks: Sequence[Mark], directory: Path) -> list[Path]:
-    """Draw service, running requests and latency over time; return the files."""
+    """Plot service, running requests and latency over time; return the file paths.
+
+    Each mark is a monotonic time and a label, drawn as a vertical line.
+    """
     paths = []
-    for name, draw_one in (
-        ("service", _service),
-        ("running", _running),
-        ("latency", _latency),
+    for name, draw_plot in (
+        ("service", _plot_service),
+        ("running", _plot_running),
+        ("latency", _plot_latency),
     ):
         figure, axes = plt.subplots(figsize=(9, 4.5))
-        draw_one(run, axes)
+        draw_plot(run, axes)
         for at, kind in marks:
             axes.axvline(at - run.start, color="grey", lw=0.7, ls=":")
             axes.annotate(
@@ -47,12 +50,12 @@
     return paths
 
 
-def _service(run: Run, axes: Axes) -> None:
+def _plot_service(run: Run, axes: Axes) -> None:
     by_workspace: dict[str, list[tuple[float, float]]] = {}
     for event in service_events(run):
         pairs = by_workspace.setdefault(event.workspace, [])
         pairs.append((event.at - run.start, event.service))
-    for name, pairs in sorted(by_workspace.items())[:SHOWN_WORKSPACES]:
+    for name, pairs in sorted(by_workspace.items())[:MAX_PLOTTED_WORKSPACES]:
         pairs.sort()
         times = [at for at, _ in pairs]
         axes.plot(times, np.cumsum([value for _, value in pairs]), lw=1, label=name)
@@ -60,7 +63,7 @@
     axes.legend(fontsize=6, ncol=2)
 
 
-def _running(run: Run, axes: Axes) -> None:
+def _plot_running(run: Run, axes: Axes) -> None:
     for report in run.engines:
         samples = report["samples"]
         times = [sample[0] - run.start for sample in samples]
@@ -69,7 +72,7 @@
     axes.legend(fontsize=6, ncol=2)
 
 
-def _latency(run: Run, axes: Axes) -> None:
+def _plot_latency(run: Run, axes: Axes) -> None:
     for outcome, colour in (
         ("completed", "tab:blue"),
         ("refused", "tab:orange"),
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
@@ -1,4 +1,4 @@
-"""Start routers and stand-ins as processes on loopback, and end just those."""
+"""Start routers and stand-ins as child processes on loopback, and stop them."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 
 JSON = "application/json"
 READY_S = 15.0
-"""Seconds that a process may take until it is ready."""
+"""Seconds that a process may take to become ready."""
 POLL_S = 0.05
 STOP_S = 8.0
-"""Seconds that a process may take to end before it is killed."""
+"""Seconds that a process may take to exit before it is killed."""
 
 
 class ProcessError(FulmarroadError):
-    """Report that a process did not come up or ended by itself."""
+    """Report that a process did not become ready or answered with an error."""
 
 
 @define(eq=False)
 class Child:
-    """Hold a process that was started here."""
+    """Hold a child process and its last sampled usage."""
 
     name: str
     process: Process
@@ -63,11 +63,11 @@
 
     @property
     def ended(self) -> bool:
-        """Tell whether it has ended."""
+        """Return whether the process has exited."""
         return self.process.returncode is not None
 
     def sample(self) -> None:
-        """Note the processor time and memory used so far."""
+        """Record the processor time and memory used so far."""
         try:
             seen = psutil.Process(self.pid)
             times = seen.cpu_times()
@@ -77,19 +77,19 @@
             pass
 
     def send(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process unless it has exited."""
         if not self.ended:
             os.kill(self.pid, number)
 
     def last_lines(self, count: int = 12) -> str:
-        """Return the end of its log."""
+        """Return the last lines of the log."""
         lines = self.log.read_text(errors="replace").splitlines()
         return "\n".join(lines[-count:])
 
 
 @define(eq=False)
 class Processes:
-    """Start processes whose logs lie in one directory."""
+    """Start child processes that write their logs to one directory."""
 
     directory: Path
     children: list[Child] = field(factory=list)
@@ -111,7 +111,7 @@
         return child
 
     async def stop(self, child: Child, within_s: float = STOP_S) -> int | None:
-        """End a process gracefully and return its exit code; None if it had to die."""
+        """Stop a process gracefully and return its exit code; None if it was killed."""
         child.sample()
         child.send(signal.SIGCONT)
         child.send(signal.SIGTERM)
@@ -122,7 +122,7 @@
         return None
 
     async def stop_all(self) -> None:
-        """End whatever still runs, all at once."""
+        """Stop all running processes concurrently and close their logs."""
         async with anyio.create_task_group() as group:
             for child in self.children:
                 if not child.ended:
@@ -133,7 +133,10 @@
 
 @asynccontextmanager
 async def processes(keep: Path | None = None) -> AsyncIterator[Processes]:
-    """Offer a starter whose processes end with the block."""
+    """Yield a starter whose processes are stopped at the end of the block.
+
+    Logs go to `keep`, or to a temporary directory without it.
+    """
     with tempfile.TemporaryDirectory(prefix="fulmarroad-") as scratch:
         starter = Processes(keep or Path(scratch))
         try:
@@ -144,9 +147,9 @@
 
 
 def run_main(main: Callable[[], Awaitable[Result]]) -> Result:
-    """Run a main task on uvloop; raise the first of several errors alone.
+    """Run a main task on uvloop and unwrap exception groups to their first error.
 
-    A task group wraps errors, which would hide one's own message from the user.
+    A task group wraps errors, which would hide the message of a `FulmarroadError`.
     """
     try:
         return anyio.run(main, backend_options={"use_uvloop": True})
@@ -155,36 +158,39 @@
 
 
 def _first_error(errors: BaseExceptionGroup) -> BaseException:
-    """Return the first error of a group, an own one if there is one."""
-    own, _ = errors.split(FulmarroadError)
-    found: BaseException = own or errors
+    """Return the first error of a group, preferring a `FulmarroadError`."""
+    own_errors, _ = errors.split(FulmarroadError)
+    found: BaseException = own_errors or errors
     while isinstance(found, BaseExceptionGroup):
         found = found.exceptions[0]
     return found
 
 
-_reserved: list[socket.socket] = []
-"""Sockets that keep ports from being given to others until this process ends."""
+_reserved_sockets: list[socket.socket] = []
+"""Bound sockets that reserve their ports until this process exits."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Return TCP ports that are free now and stay so for this process's children.
+    """Return TCP ports that are reserved for this process's children.
 
-    A port that is merely looked up can be given to an outgoing connection before the
-    child binds it, and the child then fails. These stay bound but never listen, which
-    lets a child with the same options bind and listen beside them.
+    A port that is only looked up can be assigned to an outgoing connection before the
+    child binds it, and the child then fails to start. These sockets stay bound but
+    never listen, so a child with the same socket options can bind and listen too.
     """
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in range(count)]
     for sock in sockets:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((HOST, 0))
-    _reserved.extend(sockets)
+    _reserved_sockets.extend(sockets)
     return [sock.getsockname()[1] for sock in sockets]
 
 
 def free_udp_ports(count: int) -> list[int]:
-    """Return UDP ports that are free now; a second socket would take packets away."""
+    """Return UDP ports that are free now.
+
+    They aren't reserved: a second bound socket would receive the child's packets.
+    """
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for sock in sockets:
         sock.bind((HOST, 0))
@@ -195,7 +201,7 @@
 
 
 def router_rows(names: Sequence[tuple[str, str]]) -> list[RouterRow]:
-    """Give ports to routers named with their data centres."""
+    """Return router rows with free ports for pairs of name and data centre."""
     tcp = free_ports(3 * len(names))
     udp = free_udp_ports(len(names))
     return [
@@ -205,7 +211,7 @@
 
 
 async def wait_ready(child: Child, address: str, path: str = "/readyz") -> None:
-    """Return once a process answers 200; raise when it doesn't come up."""
+    """Wait until a process answers 200; raise `ProcessError` after `READY_S`."""
     with anyio.move_on_after(READY_S):
         while not child.ended:
             answer = await call(address, Request("GET", path), timeout_s=2.0)
@@ -213,27 +219,27 @@
                 return
             await anyio.sleep(POLL_S)
     raise ProcessError(
-        f"{child.name} did not get ready within {READY_S:.0f} s.",
-        hint=f"The end of its log:\n{child.last_lines()}",
+        f"{child.name} did not become ready within {READY_S:.0f} s.",
+        hint=f"Last lines of its log:\n{child.last_lines()}",
     )
 
 
 async def order(address: str, path: str, value: Any, method: str = "POST") -> Any:
-    """Send a stand-in an order and return its answer."""
+    """Send a control request to a stand-in and return its JSON answer."""
     body = value if isinstance(value, bytes) else json.dumps(value).encode()
     answer = await call(address, Request(method, path, (), body), timeout_s=10.0)
     return _json_of(answer, address, path)
 
 
 async def order_router(address: str, path: str, value: Any, token: str) -> Any:
-    """Send a router's admin port an order and return its answer."""
+    """Send a control request to a router's admin port and return its JSON answer."""
     headers = (("authorization", f"Bearer {token}"), ("content-type", JSON))
     request = Request("POST", path, headers, json.dumps(value).encode())
     return _json_of(await call(address, request, timeout_s=10.0), address, path)
 
 
 async def fetch(address: str, path: str, *, token: str = "") -> Any:
-    """Return the JSON found at a path."""
+    """Return the JSON document at a path."""
     headers = (("authorization", f"Bearer {token}"),) if token else ()
     answer = await call(address, Request("GET", path, headers), timeout_s=20.0)
     return _json_of(answer, address, path)
@@ -263,18 +269,18 @@
     async def put_tables(
         self, version: int, out: Sequence[str] = (), servers_out: Sequence[str] = ()
     ) -> None:
-        """Show tables at the platform."""
+        """Publish a table version at the platform stand-in."""
         tables = self.layout.tables(version, out, servers_out)
         await order(self.platform_control, "/control/tables", tables, "PUT")
 
     async def put_vms(self, leaving: Sequence[str] = ()) -> None:
-        """Show the routers that are up in the VM list."""
+        """Publish a VM list of the routers in `rows` at the platform stand-in."""
         self.vm_version += 1
         vms = self.layout.vm_list(self.vm_version, self.rows.values(), leaving)
         await order(self.platform_control, "/control/vms", vms, "PUT")
 
     async def start_router(self, row: RouterRow, *, first: bool = False) -> Child:
-        """Start a router's process; `first` if no router ever served before."""
+        """Start a router process; set `first` if the fleet has never served."""
         path = self.starter.directory / f"{row.name}.toml"
         text = router_settings(
             row,
@@ -305,12 +311,12 @@
         return await fetch(self.rows[name].admin_address, "/status", token=ADMIN_TOKEN)
 
     async def engine_reports(self) -> list[dict[str, Any]]:
-        """Return what every engine recorded."""
+        """Return the records of every engine."""
         names = [row.name for row in self.layout.engines]
         return [await fetch(self.engines_control, f"/{name}/records") for name in names]
 
     async def plain_reports(self) -> list[dict[str, Any]]:
-        """Return what every plain service recorded."""
+        """Return the records of every plain service."""
         names = [row.name for row in self.layout.plains]
         return [await fetch(self.plains_control, f"/{name}/records") for name in names]
 
@@ -323,7 +329,7 @@
     profile: dict[str, float] | None = None,
     plain_service_s: float = SERVICE_S,
 ) -> LocalFleet:
-    """Start the stand-ins of a layout, with its tables of version 1 in view."""
+    """Start the stand-ins of a layout and publish its tables as version 1."""
     ports = free_ports(4)
     platform, platform_control, engines_control, plains_control = ports
     child = await starter.start(
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_processor_time.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_processor_time.py
@@ -1,4 +1,4 @@
-"""This process's processor time."""
+"""Processor time of the current process."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def cpu_s() -> float:
-    """Return the processor time spent so far, in seconds."""
+    """Return the user and system time used so far, in seconds."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_scenario.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: which fleet, which callers, which faults; read from TOML and checked."""
+"""Scenario files in TOML: the fleet, its callers and the faults to inject."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from fulmarroad.exceptions import ConfigurationError
 from fulmarroad_bench._engine_model import EngineProfile
 
-LONGEST_S = 40.0
-"""Seconds of load at most, so that a whole run stays under a minute."""
+MAX_LOAD_S = 40.0
+"""Maximum seconds of load; it keeps a whole run under a minute."""
 
 
 @frozen
 class Fleet:
-    """Say how many of each there are, spread evenly over the data centres."""
+    """Hold the size of the fleet, which is spread evenly over the data centres."""
 
     data_centres: int = 3
     routers: int = 9
@@ -29,13 +29,14 @@
 
 @frozen
 class Group:
-    """Say what the callers of some like workspaces do.
-
-    `callers` send the next call when the last one ended; `rate` is calls a second
-    beside them, whatever comes back. Both are for each workspace. `spread` is how
-    many routers see one workspace, 0 for all. `long_share` of the calls cost
-    `long_tokens`. `hint_low` and `hint_high` bound the factor by which a caller's hint
-    is off. Times are seconds of load.
+    """Describe the traffic of a group of identical workspaces.
+
+    Each of the `callers` sends its next call when the last one ended; `rate` adds
+    calls per second at a fixed rate, whatever their outcome. Both are per workspace.
+    `spread` is the number of routers that a workspace calls, 0 for all. The share
+    `long_share` of the calls asks for `long_tokens`. `hint_low` and `hint_high` bound
+    the ratio of a caller's token hint to the real number. Times are in seconds of
+    load.
     """
 
     name: str
@@ -56,10 +57,10 @@
     stream_share: float = 0.9
     ledger_rate: float = 0.0
     start_s: float = 0.0
-    stop_s: float = LONGEST_S
+    stop_s: float = MAX_LOAD_S
 
 
-KINDS = frozenset(
+FAULT_KINDS = frozenset(
     {
         "engine",
         "plain",
@@ -78,15 +79,15 @@
 
 @frozen
 class Fault:
-    """Say what happens at a time.
-
-    `engine`, `plain` and `platform` pass `order` to stand-in number `target` (the
-    platform has none); `leave` and `return` take data centre number `target` out and
-    bring it back by a new table; `cut` parts the routers (`sides`: `centres` puts
-    data centre `target` on one side, `halves` every second router), `heal` ends it;
-    `pause` and `resume` stop and continue router number `target`; `replace` starts a
-    new router, then ends router number `target` gracefully; `table` puts a new version
-    that changes nothing.
+    """Describe one fault and when it is injected.
+
+    `engine`, `plain` and `platform` send `order` to stand-in number `target` (the
+    platform has no number). `leave` and `return` remove and restore data centre number
+    `target` through a new table version. `cut` partitions the routers: with `sides`
+    `centres`, data centre `target` is one side, with `halves` every second router;
+    `heal` ends the partition. `pause` and `resume` stop and continue router number
+    `target`. `replace` starts a new router, then stops router number `target`
+    gracefully. `table` publishes a new table version without changes.
     """
 
     at_s: float
@@ -98,7 +99,7 @@
 
 @frozen
 class Scenario:
-    """Hold one checked scenario."""
+    """Hold one validated scenario."""
 
     name: str
     seconds: float
@@ -112,37 +113,35 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Read a scenario; raise `ConfigurationError` with every problem found."""
+    """Read a scenario file; raise `ConfigurationError` with every problem found."""
     try:
         raw = tomllib.loads(path.read_text())
     except (OSError, ValueError) as error:
-        raise ConfigurationError(
-            f"The scenario {path} can't be read: {error}"
-        ) from None
+        raise ConfigurationError(f"Scenario {path} can't be read: {error}") from None
     return parse_scenario(path.stem, raw)
 
 
 def parse_scenario(name: str, raw: Mapping[str, Any]) -> Scenario:
-    """Check a scenario and return it."""
+    """Validate a scenario; raise `ConfigurationError` with every problem found."""
     checker = _Checker()
     checker.unknown(
         "scenario",
         raw,
         ("seconds", "warm_s", "fleet", "engine", "group", "fault", "pool", "route"),
     )
-    seconds = checker.number("seconds", raw.get("seconds", 25.0), 1, LONGEST_S)
+    seconds = checker.number("seconds", raw.get("seconds", 25.0), 1, MAX_LOAD_S)
     warm_s = checker.number("warm_s", raw.get("warm_s", 12.0), 0, 15)
     fleet = checker.build(Fleet, "fleet", raw.get("fleet", {}))
     engine = checker.build(EngineProfile, "engine", raw.get("engine", {}))
     groups = checker.build_all(Group, "group", raw.get("group", []))
     faults = checker.build_all(Fault, "fault", raw.get("fault", []))
     if not raw.get("group"):
-        checker.problems.append("group: there is none, so nobody would call")
+        checker.problems.append("group: at least one is required to send calls")
     checker.check_groups(groups)
     checker.check_faults(faults, seconds)
     if checker.problems or fleet is None or engine is None:
         raise ConfigurationError(
-            f"The scenario {name} is not usable.", problems=tuple(checker.problems)
+            f"Scenario {name} is not valid.", problems=tuple(checker.problems)
         )
     return Scenario(
         name,
@@ -158,36 +157,38 @@
 
 
 class _Checker:
-    """Collect the problems of a scenario."""
+    """Validate the parts of a scenario and collect their problems."""
 
     def __init__(self) -> None:
         self.problems: list[str] = []
 
     def unknown(self, where: str, raw: Mapping[str, Any], known: Any) -> None:
-        """Note fields that mean nothing."""
+        """Record a problem for each unknown field."""
         for key in raw:
             if key not in known:
                 self.problems.append(f"{where}: unknown field {key!r}")
 
     def number(self, where: str, value: Any, low: float, high: float) -> float:
-        """Return a number, or note that it is none or out of range."""
+        """Return a number; record a problem if it is not one or out of range."""
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self.problems.append(f"{where}: {value!r} is no number")
+            self.problems.append(f"{where}: {value!r} is not a number")
             return low
         if not low <= value <= high:
-            self.problems.append(f"{where}: {value} is not in {low} to {high}")
+            self.problems.append(
+                f"{where}: {value} is not in the range {low} to {high}"
+            )
         return float(value)
 
     def build(self, kind: type, where: str, raw: Any) -> Any:
-        """Return a row of a class, or None and a note."""
+        """Return a table as an instance of `kind`, or None if a field is missing."""
         if not isinstance(raw, Mapping):
-            self.problems.append(f"{where}: is no table")
+            self.problems.append(f"{where}: is not a table")
             return None
         fields = {item.name: item for item in attrs.fields(kind)}
         self.unknown(where, raw, fields)
         known = {key: value for key, value in raw.items() if key in fields}
         for key, value in known.items():
-            self._type(f"{where}: {key}", value, str(fields[key].type))
+            self._check_type(f"{where}: {key}", value, str(fields[key].type))
         missing = [
             item.name
             for item in fields.values()
@@ -197,40 +198,44 @@
         return None if missing else kind(**known)
 
     def build_all(self, kind: type, where: str, raw: Any) -> list[Any]:
-        """Return the rows of an array of tables."""
+        """Return the valid rows of an array of tables."""
         if not isinstance(raw, list):
-            self.problems.append(f"{where}: is no array of tables")
+            self.problems.append(f"{where}: is not an array of tables")
             return []
         rows = [self.build(kind, f"{where} {n}", row) for n, row in enumerate(raw, 1)]
         return [row for row in rows if row is not None]
 
     def check_groups(self, groups: list[Group]) -> None:
-        """Note groups that ask for nothing or can't be."""
+        """Record groups whose lower bound exceeds the upper bound."""
         for group in groups:
-            if self._comparable(group.tokens_low, group.tokens_high):
-                self.problems.append(f"group {group.name}: tokens_low is above high")
-            if self._comparable(group.prompt_low, group.prompt_high):
-                self.problems.append(f"group {group.name}: prompt_low is above high")
+            if self._is_reversed(group.tokens_low, group.tokens_high):
+                self.problems.append(
+                    f"group {group.name}: tokens_low is above tokens_high"
+                )
+            if self._is_reversed(group.prompt_low, group.prompt_high):
+                self.problems.append(
+                    f"group {group.name}: prompt_low is above prompt_high"
+                )
 
     def check_faults(self, faults: list[Fault], seconds: float) -> None:
-        """Note faults of no known kind or after the end."""
+        """Record faults of an unknown kind or with a time after the end."""
         for number, fault in enumerate(faults, 1):
-            if fault.kind not in KINDS:
+            if fault.kind not in FAULT_KINDS:
                 self.problems.append(f"fault {number}: unknown kind {fault.kind!r}")
             self.number(f"fault {number}: at_s", fault.at_s, 0, seconds)
             if fault.sides not in ("centres", "halves"):
                 self.problems.append(f"fault {number}: unknown sides {fault.sides!r}")
 
-    def _type(self, where: str, value: Any, wanted: str) -> None:
+    def _check_type(self, where: str, value: Any, wanted: str) -> None:
         if wanted in ("int", "float"):
             if wanted == "int" and isinstance(value, float):
-                self.problems.append(f"{where}: {value!r} is no whole number")
+                self.problems.append(f"{where}: {value!r} is not a whole number")
             else:
                 self.number(where, value, 0, 1e9)
         elif wanted == "str" and not isinstance(value, str):
-            self.problems.append(f"{where}: {value!r} is no text")
+            self.problems.append(f"{where}: {value!r} is not a string")
 
     @staticmethod
-    def _comparable(low: Any, high: Any) -> bool:
+    def _is_reversed(low: Any, high: Any) -> bool:
         numbers = isinstance(low, int | float) and isinstance(high, int | float)
         return numbers and low > high
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_slopes.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_slopes.py
@@ -1,4 +1,4 @@
-"""Fit lines through measured sizes: what one more of something costs."""
+"""Fit lines through costs measured at several sizes, to get the cost per item."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from attrs import frozen
 
 REPEATS = 3
-"""Times are the best of so many runs: other load on the machine only ever adds."""
+"""Number of runs of which the fastest counts: other load only ever adds time."""
 
 
 @frozen
 class Slope:
-    """Hold what was measured at some sizes, and the line through it.
+    """Hold the values measured at some sizes and the line fitted through them.
 
-    `per` names what is counted, `unit` is `B` or `us`. `each` is the slope, `fixed`
-    what remains at size 0, and `misfit` the largest distance of a value from the line,
-    as a part of the largest value.
+    `per` names the item that sizes count, `unit` is the unit of the values, mostly `B`
+    or `us`. `each` is the slope, `fixed` the value at size 0, and `misfit` the largest
+    distance of a value from the line as a fraction of the largest value.
     """
 
     name: str
@@ -37,9 +37,9 @@
 def fit(
     name: str, per: str, unit: str, sizes: Sequence[int], values: Sequence[float]
 ) -> Slope:
-    """Return the line of least squares; raise `ValueError` below three sizes."""
+    """Fit a line by least squares; raise `ValueError` below three distinct sizes."""
     if len(set(sizes)) < 3 or len(sizes) != len(values):
-        raise ValueError(f"{name} needs a value at three sizes or more.")
+        raise ValueError(f"{name} needs one value each at three sizes or more.")
     each, fixed = (float(part) for part in np.polyfit(sizes, values, 1))
     distances = [abs(v - fixed - each * s) for s, v in zip(sizes, values, strict=True)]
     misfit = max(distances) / (max(abs(v) for v in values) or 1.0)
@@ -53,31 +53,31 @@
     sizes: Sequence[int],
     value_of: Callable[[int], float],
 ) -> Slope:
-    """Return the line through `value_of` at each size."""
+    """Measure `value_of` at each size and fit a line."""
     return fit(name, per, unit, sizes, [float(value_of(size)) for size in sizes])
 
 
 def allocated_bytes(build: Callable[[], Any]) -> int:
-    """Return the bytes that stay allocated while the built thing is held.
+    """Return the bytes that stay allocated while the result of `build` is held.
 
-    Counted by tracemalloc: what Python's allocator gave out, without its own slack.
-    What `build` needed only on the way is not in it.
+    tracemalloc counts the memory that Python's allocator handed out, without the
+    allocator's overhead. Memory that `build` has released again is not counted.
     """
-    build()  # imports, caches and interned names are paid once
+    build()  # fills imports, caches and interned names first
     gc.collect()
     tracemalloc.start()
     try:
-        thing = build()
+        built = build()
         gc.collect()
         size, _ = tracemalloc.get_traced_memory()
-        del thing
+        del built
     finally:
         tracemalloc.stop()
     return size
 
 
 def best_us(run: Callable[[], Any], count: int = 1, *, repeats: int = REPEATS) -> float:
-    """Return microseconds of processor time for one of the `count` things in a run."""
+    """Return processor microseconds of one of `count` items, from the fastest run."""
     best = float("inf")
     for _ in range(repeats):
         gc.collect()
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_versions.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_versions.py
@@ -1,4 +1,4 @@
-"""Find routers whose tables went back, from what they said was in force."""
+"""Find routers whose tables reverted, from the versions they reported in force."""
 
 from __future__ import annotations
 
@@ -6,35 +6,45 @@
 
 from attrs import frozen
 
-SPREAD_ALLOWED_S = 5.0
-"""Seconds in which an accepted version must be in force on every router."""
+MAX_PROPAGATION_S = 5.0
+"""Seconds within which an accepted version must be in force on every router."""
 
 
 @frozen
 class VersionObservation:
-    """Say which table version a router that takes calls had in force at a time."""
+    """Hold the table version that a ready router reported in force at a time."""
 
     at: float
     router: str
     version: int
 
 
-def find_reverts(seen: Sequence[VersionObservation]) -> list[VersionObservation]:
-    """Return each sight of a router behind itself, or long behind any other.
+def find_reverts(
+    seen: Sequence[VersionObservation],
+) -> list[VersionObservation]:
+    """Return each observation of a version older than allowed.
 
-    The second kind is a router that restarted without memory and believed an old
-    version; one that is cut off from its peers shows it too.
+    It is older than one the same router had before, or than one that any router had
+    more than `MAX_PROPAGATION_S` earlier. The second case is a router that restarted
+    without its state and accepted an old version; a router that is partitioned from
+    its peers shows it too.
     """
     found = []
     newest: dict[str, int] = {}
     first_at: dict[int, float] = {}
-    for sight in sorted(seen, key=lambda sight: sight.at):
-        due = max(
-            (v for v, at in first_at.items() if sight.at - at > SPREAD_ALLOWED_S),
+    for observation in sorted(seen, key=lambda observation: observation.at):
+        required = max(
+            (
+                v
+                for v, at in first_at.items()
+                if observation.at - at > MAX_PROPAGATION_S
+            ),
             default=0,
         )
-        if sight.version < max(newest.get(sight.router, 0), due):
-            found.append(sight)
-        newest[sight.router] = max(newest.get(sight.router, 0), sight.version)
-        first_at.setdefault(sight.version, sight.at)
+        if observation.version < max(newest.get(observation.router, 0), required):
+            found.append(observation)
+        newest[observation.router] = max(
+            newest.get(observation.router, 0), observation.version
+        )
+        first_at.setdefault(observation.version, observation.at)
     return found
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/capacity.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/capacity.py
@@ -1,8 +1,8 @@
-"""Measure what one more of each thing costs a router, on the real modules.
+"""Measure how a router's costs grow with the fleet, on the real modules.
 
-One process, no network. Each cost is measured at three sizes or more and a line is laid
-through them; docs/CAPACITY-LIBRARY.md works out from the slopes what a large fleet
-needs. The last line printed is JSON.
+Runs in one process without network. Each cost is measured at three sizes or more and
+a line is fitted; docs/CAPACITY-LIBRARY.md derives the needs of a large fleet from the
+slopes. The last line printed is JSON.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 def all_slopes() -> list[Slope]:
-    """Return every slope, measured now."""
+    """Measure and return every slope."""
     parts = (_capacity_state, _capacity_control, _capacity_follower)
     return [slope for part in parts for slope in part.slopes()]
 
 
 def bounds(size: FleetSize) -> dict[str, float]:
-    """Return the interval of reports and the gap bound of a fleet, by the library."""
+    """Return the report interval and the gap bound that the library computes."""
     peers = size.schedulers_of_pool - 1
     interval = spread_interval(peers, size.backlogged_of_pool)
     return {
@@ -64,15 +64,15 @@
 
 
 def table(slopes: list[Slope], limits: dict[str, float]) -> str:
-    """Return the slopes for reading."""
-    head = f"{'slope':24}{'unit':>8}{'each':>14}{'fixed':>14}{'misfit':>8}"
-    rows = [head, *map(_row, slopes)]
+    """Return the slopes and bounds as a text table."""
+    header = f"{'slope':24}{'unit':>8}{'each':>14}{'fixed':>14}{'misfit':>8}"
+    rows = [header, *map(_row, slopes)]
     rows += [f"{name:24}{value:22.3f}" for name, value in limits.items()]
     return "\n".join(rows)
 
 
 def format_cost_terms(rows: list[CostTerm]) -> str:
-    """Return the sums line by line, and each kind's total against its limit."""
+    """Return the cost terms as text, with each kind's total against its limit."""
     shown = [
         f"{row.role:14}{row.kind:10}{row.what:36}{row.text} = {row.value:,.1f}"
         for row in sorted(rows, key=lambda row: list(LIMITS).index(row.kind))
@@ -87,7 +87,7 @@
 def line(
     slopes: list[Slope], limits: dict[str, float], rows: list[CostTerm]
 ) -> dict[str, Any]:
-    """Return what the last line holds."""
+    """Return the contents of the last output line."""
     return {
         "slopes": {slope.name: asdict(slope) for slope in slopes},
         "size": asdict(TARGET_FLEET),
@@ -98,7 +98,7 @@
 
 
 def main() -> None:
-    """Measure, then print slopes, sums and one JSON line."""
+    """Measure, then print the slopes, the cost terms and one JSON line."""
     slopes, limits = all_slopes(), bounds(TARGET_FLEET)
     rounds = next(slope for slope in slopes if slope.name == "round_s").values[-1]
     limits["gap_bound_round_tokens"] = _gap_bound(TARGET_FLEET, rounds)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
@@ -1,4 +1,4 @@
-"""Show a fleet at work: three routers, four workspaces, a data centre out and back."""
+"""Demo of three routers and four workspaces: a data centre is removed and restored."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 )
 
 CENTRES = ("north", "middle", "south")
-LEAVING = "south"
+REMOVED_CENTRE = "south"
 PHASE_S = 6.0
-"""Seconds of load before a data centre leaves, and while it is out."""
+"""Seconds of load before the data centre is removed, and while it is out."""
 RETURN_S = 12.0
-"""Seconds of load after its return, which is slowed down on purpose and begins cold."""
-LEAVE_WITHIN_S = 3.0
-"""Seconds after which a data centre that was taken out gets no new work."""
+"""Seconds of load after its return: traffic ramps up slowly to cold engines."""
+REMOVAL_LIMIT_S = 3.0
+"""Seconds within which a removed data centre must stop receiving new work."""
 CALLERS = {"atlas": 6, "cedar": 2, "harbour": 2, "dune": 2}
-"""Callers of each workspace; the first one is much larger than the others."""
+"""Callers of each workspace; the first workspace is much larger than the others."""
 POST_EVERY = 5
-"""Every so many calls a caller posts at the ledger service as well."""
+"""Number of calls after which a caller posts to the ledger service."""
 REPEAT_SHARE = 0.3
-"""Share of keyed posts that their caller sends a second time."""
+"""Share of posts with an idempotency key that their caller sends again."""
 
 
 def demo_layout() -> Layout:
@@ -63,18 +63,18 @@
 
 @define(eq=False)
 class Demo:
-    """Drive the fleet through its three phases."""
+    """Drive the fleet through the three phases of the demo."""
 
     local_fleet: LocalFleet
     rng: random.Random = field(factory=lambda: random.Random(1))
     callers: Callers = field(factory=Callers)
     removed_at: float = 0.0
     restored_at: float = 0.0
-    over: bool = False
+    stopped: bool = False
     _count: int = 0
 
     async def run(self) -> None:
-        """Send calls while the data centre leaves and returns."""
+        """Send calls while the data centre is removed and restored."""
         addresses = {row.name: row.address for row in self.local_fleet.layout.routers}
         balancer = Balancer(addresses, self.rng)
         async with anyio.create_task_group() as group:
@@ -82,24 +82,28 @@
                 for _ in range(CALLERS[workspace.name]):
                     group.start_soon(self._caller, workspace, balancer)
             await self._phases()
-            self.over = True
-            say("No new calls; waiting for the answers that still run.")
+            self.stopped = True
+            print_progress("No new calls; waiting for running answers to end.")
 
     async def _phases(self) -> None:
-        say(f"Twelve callers of {len(CALLERS)} workspaces begin; engines are cold.")
+        print_progress(
+            f"Twelve callers of {len(CALLERS)} workspaces start; engines are cold."
+        )
         await anyio.sleep(PHASE_S)
-        say(f"Operators take data centre {LEAVING!r} out: table version 2.")
+        print_progress(
+            f"Operators remove data centre {REMOVED_CENTRE!r}: table version 2."
+        )
         self.removed_at = time.monotonic()
-        await self.local_fleet.put_tables(2, out=[LEAVING])
+        await self.local_fleet.put_tables(2, out=[REMOVED_CENTRE])
         await anyio.sleep(PHASE_S)
-        say(f"They bring {LEAVING!r} back: table version 3.")
+        print_progress(f"Operators restore {REMOVED_CENTRE!r}: table version 3.")
         self.restored_at = time.monotonic()
         await self.local_fleet.put_tables(3)
         await anyio.sleep(RETURN_S)
 
     async def _caller(self, workspace: WorkspaceRow, balancer: Balancer) -> None:
         sent = self.rng.randrange(POST_EVERY)
-        while not self.over:
+        while not self.stopped:
             sent += 1
             if sent % POST_EVERY:
                 await self._send(self._chat(workspace), balancer)
@@ -126,22 +130,22 @@
             plan, balancer.ranked_addresses(plan.workspace)
         )
         if result.outcome not in ("completed", "left"):
-            # A caller that is turned away waits a little, as Retry-After asks.
+            # A rejected caller waits before its next call, as Retry-After asks.
             await anyio.sleep(0.5)
         return result
 
     def _chat(self, workspace: WorkspaceRow) -> CallPlan:
         tokens = self.rng.randint(10, 50)
-        leaves = self.rng.random() < 0.05
+        disconnects = self.rng.random() < 0.05
         return CallPlan(
             self._next_id(workspace),
             workspace.name,
             workspace.key,
-            stream=self.rng.random() < 0.8 or leaves,
+            stream=self.rng.random() < 0.8 or disconnects,
             tokens=tokens,
             hint=tokens * 2,
             prompt=f"Letter of {workspace.name}. " + "Please pay in time. " * 10,
-            disconnect_after_chunks=3 if leaves else None,
+            disconnect_after_chunks=3 if disconnects else None,
         )
 
     def _next_id(self, workspace: WorkspaceRow) -> str:
@@ -149,12 +153,12 @@
         return f"{workspace.name}-{self._count}"
 
 
-def say(text: str) -> None:
-    """Print a line with the time since the start."""
-    print(f"[{time.monotonic() - _BEGAN:5.1f} s] {text}", flush=True)
+def print_progress(text: str) -> None:
+    """Print a line with the seconds since the start."""
+    print(f"[{time.monotonic() - _STARTED_AT:5.1f} s] {text}", flush=True)
 
 
-_BEGAN = time.monotonic()
+_STARTED_AT = time.monotonic()
 
 
 async def main() -> int:
@@ -164,9 +168,11 @@
 
 
 async def _run(starter: Processes) -> int:
-    say("Starting stand-ins: a platform, three model engines, three ledgers.")
+    print_progress(
+        "Starting stand-ins: a platform, three model engines, three ledgers."
+    )
     local_fleet = await start_local_fleet(demo_layout(), starter)
-    say("Starting three routers, one for each data centre.")
+    print_progress("Starting three routers, one for each data centre.")
     await local_fleet.start_routers()
     demo = Demo(local_fleet)
     await demo.run()
@@ -176,21 +182,21 @@
     )
     results = demo.callers.results
     checks = check(results, engines, plains)
-    reports = [report for report in engines if report["name"].endswith(LEAVING)]
+    reports = [report for report in engines if report["name"].endswith(REMOVED_CENTRE)]
     starts = starts_in(reports, demo.removed_at, demo.restored_at)
     last_s = starts[-1] - demo.removed_at if starts else 0.0
-    again = len(starts_in(reports, demo.restored_at, time.monotonic()))
+    calls_after_return = len(starts_in(reports, demo.restored_at, time.monotonic()))
     await starter.stop_all()
     codes = [child.process.returncode for child in local_fleet.routers.values()]
-    _tell(results, checks, last_s, again, codes)
-    held = checks.held and last_s <= LEAVE_WITHIN_S and again > 0
-    held = held and all(code == 0 for code in codes) and _served(results)
+    _print_report(results, checks, last_s, calls_after_return, codes)
+    held = checks.held and last_s <= REMOVAL_LIMIT_S and calls_after_return > 0
+    held = held and all(code == 0 for code in codes) and _all_served(results)
     print(json.dumps(summary(results, checks)))
     return 0 if held else 1
 
 
 def summary(results: Sequence[CallResult], checks: Checks) -> dict[str, int]:
-    """Return the last line of the demo."""
+    """Return the counts that the last line of the output holds."""
     outcomes = [result.outcome for result in results]
     return {
         "completed": outcomes.count("completed"),
@@ -204,37 +210,39 @@
     }
 
 
-def _served(results: Sequence[CallResult]) -> bool:
-    """Tell whether every workspace got answers and no call failed unexplained."""
+def _all_served(results: Sequence[CallResult]) -> bool:
+    """Return whether every workspace got answers and no call failed."""
     served = {r.workspace for r in results if r.outcome == "completed"}
     failed = any(r.outcome in ("failed", "unreachable") for r in results)
     return served == set(CALLERS) and not failed
 
 
-def _tell(
+def _print_report(
     results: Sequence[CallResult],
     checks: Checks,
     last_s: float,
-    again: int,
+    calls_after_return: int,
     codes: Sequence[int | None],
 ) -> None:
-    say("Every answer was held against its request, every refusal against the records.")
+    print_progress(
+        "Answers were checked against requests, refusals against server records."
+    )
     print(f"  {'workspace':<10} {'callers':>7} {'answers':>8} {'tokens':>7}")
     for name, callers in CALLERS.items():
-        mine = [r for r in results if r.workspace == name and r.outcome == "completed"]
-        tokens = sum(r.tokens for r in mine if r.kind == "chat")
-        print(f"  {name:<10} {callers:>7} {len(mine):>8} {tokens:>7}")
-    print(
-        f"  Last new work in {LEAVING!r} after it was taken out: {last_s:.2f} s later."
-    )
-    print(f"  New work there once it was back: {again} calls.")
+        completed = [
+            r for r in results if r.workspace == name and r.outcome == "completed"
+        ]
+        tokens = sum(r.tokens for r in completed if r.kind == "chat")
+        print(f"  {name:<10} {callers:>7} {len(completed):>8} {tokens:>7}")
+    print(f"  Last new work in {REMOVED_CENTRE!r}: {last_s:.2f} s after its removal.")
+    print(f"  New work there after its return: {calls_after_return} calls.")
     print(f"  Posts that reached a ledger twice: {checks.doubled}.")
-    print(f"  Refusals that said 'not run' and had run: {checks.false_not_run}.")
-    print(f"  Exit codes of the routers' graceful shutdown: {list(codes)}.")
+    print(f"  Calls refused as 'not run' that did run: {checks.false_not_run}.")
+    print(f"  Router exit codes after graceful shutdown: {list(codes)}.")
 
 
 def cli() -> None:
-    """Run the demo and end with its exit code."""
+    """Run the demo and exit with its exit code."""
     try:
         code = run_main(main)
     except FulmarroadError as error:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/footprint.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/footprint.py
@@ -1,6 +1,6 @@
-"""Measure what a serving router costs before it serves: memory, start, one call.
+"""Measure the base cost of a serving router: imports, one call, shared state.
 
-Ratios are of one run on one machine; absolute times are of that machine only.
+Ratios come from one run on one machine; absolute times hold for that machine only.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
 
 
 def resident_kb() -> int:
-    """Return this process's resident memory."""
+    """Return this process's resident memory, in KB."""
     status = Path("/proc/self/status").read_text()
     line = next(row for row in status.splitlines() if row.startswith("VmRSS"))
     return int(line.split()[1])
 
 
 def memory() -> None:
-    """Print the resident memory after each import of a router, and the time of it."""
+    """Print resident memory and processor time of each import that a router needs."""
     rows = [("interpreter with this bench", resident_kb(), 0.0)]
     for name in MODULES:
-        begun = time.process_time()
+        started = time.process_time()
         importlib.import_module(name)
-        rows.append((name, resident_kb(), time.process_time() - begun))
+        rows.append((name, resident_kb(), time.process_time() - started))
     for name, size, seconds in rows:
         print(json.dumps({"after": name, "kb": size, "cpu_s": round(seconds, 4)}))
 
 
 def calls() -> None:
-    """Print the processor time of a call by the router's connection and by httpcore."""
-    own = asyncio.run(_own())
-    library = asyncio.run(_library())
+    """Print the processor time of a call with the router's client and with httpcore."""
+    own = asyncio.run(_router_client_us())
+    library = asyncio.run(_httpcore_us())
     row = {"own_us": own, "httpcore_us": library, "ratio": round(library / own, 2)}
     print(json.dumps(row))
 
 
 def decisions() -> None:
-    """Print bytes and processor time of a report and of a placement, by fleet size."""
+    """Print the cost of a placement and the size of a report, by fleet size."""
     from attrs import asdict
 
     from fulmarroad_bench._footprint_decisions import decision_cost
@@ -69,7 +69,7 @@
 
 
 def digests() -> None:
-    """Print bytes and processor time of a digest of the whole fleet, by fleet size."""
+    """Print size and processor time of a digest of the whole fleet, by fleet size."""
     from attrs import asdict
 
     from fulmarroad_bench._footprint_decisions import digest_cost
@@ -79,7 +79,7 @@
 
 
 def suspects() -> None:
-    """Print what requests under which servers ended cost a router."""
+    """Print the cost of tracking requests suspected of crashing servers."""
     from attrs import asdict
 
     from fulmarroad_bench._footprint_suspects import suspect_cost
@@ -94,11 +94,11 @@
         while await reader.readuntil(b"\r\n\r\n"):
             writer.write(ANSWER)
 
-    server = await asyncio.start_server(_quiet(connected), "127.0.0.1", 0)
+    server = await asyncio.start_server(_close_on_disconnect(connected), "127.0.0.1", 0)
     return server, server.sockets[0].getsockname()[1]
 
 
-def _quiet(handler):  # type: ignore[no-untyped-def]
+def _close_on_disconnect(handler):  # type: ignore[no-untyped-def]
     async def run(reader, writer):  # type: ignore[no-untyped-def]
         try:
             await handler(reader, writer)
@@ -108,27 +108,27 @@
     return run
 
 
-async def _own() -> float:
+async def _router_client_us() -> float:
     from fulmarroad_serving.http_client import HttpClient
 
     server, port = await _serve()
     client = HttpClient("127.0.0.1", port)
-    begun = cpu_s()
+    started = cpu_s()
     for _ in range(CALLS):
         await client.get("/", 5.0)
-    spent = cpu_s() - begun
+    spent = cpu_s() - started
     client.close()
     server.close()
     return round(spent / CALLS * 1e6, 1)
 
 
-async def _library() -> float:
+async def _httpcore_us() -> float:
     server, port = await _serve()
     async with httpcore.AsyncConnectionPool() as pool:
-        begun = cpu_s()
+        started = cpu_s()
         for _ in range(CALLS):
             await pool.request("GET", f"http://127.0.0.1:{port}/")
-        spent = cpu_s() - begun
+        spent = cpu_s() - started
     server.close()
     return round(spent / CALLS * 1e6, 1)
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
@@ -1,7 +1,7 @@
-"""Measure what one router adds, as a ratio to calling the stand-in directly.
+"""Measure the overhead of one router compared with calling the stand-ins directly.
 
-One router, one stand-in engine, one stand-in plain service, one caller process, all on
-this machine. The last line printed is JSON; docs/MEASURES.md says what it holds.
+One router, one stand-in engine, one stand-in plain service and one caller process run
+on this machine. The last line printed is JSON; docs/MEASURES.md defines its fields.
 """
 
 from __future__ import annotations
@@ -35,9 +35,9 @@
 CENTRE = "centre-1"
 WORKSPACE = WorkspaceRow("bench")
 SINGLE_CALLS = 400
-"""Calls one after the other; their median is stable to about 2% from 200 on."""
+"""Number of sequential calls; their median is stable to about 2% from 200 on."""
 BUSY_S = 4.0
-"""Seconds of calls at once, long beside the 10 ms steps of processor accounting."""
+"""Seconds of concurrent calls; long against the 10 ms steps of processor time."""
 BUSY_CALLERS = 24
 STREAMS = 24
 STREAM_TOKENS = 300
@@ -52,18 +52,18 @@
 
 @define(eq=False)
 class TimedAnswer(Answer):
-    """An answer that also notes when each of its events came."""
+    """Record an answer and when each of its events arrived."""
 
     event_times: list[float] = field(factory=list)
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body and when its events came."""
+        """Keep a piece of the body and the arrival time of its events."""
         super().on_body(data)
         self.event_times += [time.monotonic()] * data.count(b"\n\n")
 
 
 def bench_layout() -> Layout:
-    """Return one of each."""
+    """Return a layout with one router, one engine and one plain service."""
     engine, plain = free_ports(2)
     return Layout(
         (CENTRE,),
@@ -76,7 +76,10 @@
 
 
 class Meter:
-    """Send the same calls to one address and time them."""
+    """Send the same calls to one address and measure their cost.
+
+    `processes_used` are the ids of the processes whose processor time counts.
+    """
 
     def __init__(self, name: str, address: str, processes_used: Sequence[int]) -> None:
         self._name = name
@@ -85,16 +88,16 @@
         self._count = 0
 
     async def single_call_ms(self) -> float:
-        """Return the median time of plain calls one after the other."""
+        """Return the median time of sequential plain calls, in milliseconds."""
         seconds = []
         for _ in range(SINGLE_CALLS):
             answer = await self._plain_call()
             seconds.append(answer.end_at - answer.sent_at)
         return statistics.median(seconds) * 1000
 
-    async def calls_at_once(self) -> tuple[float, float]:
-        """Return plain calls a second, and calls a second of processor time."""
-        before, began = self._cpu(), time.monotonic()
+    async def concurrent_calls(self) -> tuple[float, float]:
+        """Return concurrent plain calls per second and per processor second."""
+        before, began = self._cpu_seconds(), time.monotonic()
         done = 0
 
         async def caller() -> None:
@@ -107,23 +110,23 @@
             for _ in range(BUSY_CALLERS):
                 group.start_soon(caller)
         seconds = time.monotonic() - began
-        return done / seconds, done / max(0.01, self._cpu() - before)
+        return done / seconds, done / max(0.01, self._cpu_seconds() - before)
 
     async def streams(self) -> tuple[dict[str, list[float]], float]:
-        """Return when each event came, by stream, and events per processor second."""
-        before = self._cpu()
-        came: dict[str, list[float]] = {}
+        """Return the event times of each stream, and events per processor second."""
+        before = self._cpu_seconds()
+        arrivals: dict[str, list[float]] = {}
 
         async def caller() -> None:
             plan = self._plan("chat")
             answer = await self._call(plan)
-            came[plan.id] = answer.event_times
+            arrivals[plan.id] = answer.event_times
 
         async with anyio.create_task_group() as group:
             for _ in range(STREAMS):
                 group.start_soon(caller)
-        events = sum(len(times) for times in came.values())
-        return came, events / max(0.01, self._cpu() - before)
+        events = sum(len(times) for times in arrivals.values())
+        return arrivals, events / max(0.01, self._cpu_seconds() - before)
 
     async def _plain_call(self) -> TimedAnswer:
         return await self._call(self._plan("ledger"))
@@ -133,7 +136,7 @@
         await call(self._address, plan.request(), answer=answer)
         if classify_call(plan, answer).outcome != "completed":
             raise ProcessError(
-                f"{self._address} did not answer {plan.id} well: {answer.status}.",
+                f"{self._address} failed call {plan.id} with status {answer.status}.",
                 hint=bytes(answer.body[:300]).decode(errors="replace"),
             )
         return answer
@@ -149,27 +152,27 @@
             hint=STREAM_TOKENS,
         )
 
-    def _cpu(self) -> float:
+    def _cpu_seconds(self) -> float:
         times = [process.cpu_times() for process in self._processes]
         return sum(each.user + each.system for each in times)
 
 
-def chunk_ms(came: dict[str, list[float]], report: dict[str, Any]) -> float:
-    """Return the median time from the engine's step to the caller, for each token."""
-    given: dict[int, list[float]] = {}
+def chunk_ms(arrivals: dict[str, list[float]], report: dict[str, Any]) -> float:
+    """Return the median delay of a token from engine to caller, in milliseconds."""
+    send_times: dict[int, list[float]] = {}
     for at, index, tokens in report["service"]:
-        given.setdefault(index, []).extend([at] * tokens)
+        send_times.setdefault(index, []).extend([at] * tokens)
     ids = {record["id"]: n for n, record in enumerate(report["records"])}
     late = [
         arrived - left
-        for call_id, times in came.items()
-        for left, arrived in zip(given[ids[call_id]], times, strict=False)
+        for call_id, times in arrivals.items()
+        for left, arrived in zip(send_times[ids[call_id]], times, strict=False)
     ]
     return statistics.median(late) * 1000
 
 
 async def measure(local_fleet: LocalFleet) -> dict[str, float]:
-    """Return every figure, direct and through the router."""
+    """Return the measures of direct and of routed calls."""
     layout = local_fleet.layout
     pids = {child.name: child.pid for child in local_fleet.starter.children}
     router = layout.routers[0].address
@@ -178,33 +181,33 @@
     routed = Meter("routed", router, [pids["router-1"]])
     line: dict[str, float] = {}
     for name, meter in (("direct", plain_direct), ("routed", routed)):
-        await meter.single_call_ms()  # connections, caches and code paths get warm
+        await meter.single_call_ms()  # warms up connections, caches and code paths
         line[f"call_ms_{name}"] = await meter.single_call_ms()
-        rate, per_core = await meter.calls_at_once()
+        rate, per_core = await meter.concurrent_calls()
         line[f"calls_per_s_{name}"] = rate
         line[f"calls_per_core_{name}"] = per_core
     for name, meter in (("direct", engine_direct), ("routed", routed)):
-        came, per_core = await meter.streams()
+        arrivals, per_core = await meter.streams()
         report = (await local_fleet.engine_reports())[0]
-        line[f"chunk_ms_{name}"] = chunk_ms(came, report)
+        line[f"chunk_ms_{name}"] = chunk_ms(arrivals, report)
         line[f"chunks_per_core_{name}"] = per_core
     return ratios(line)
 
 
 def ratios(line: dict[str, float]) -> dict[str, float]:
-    """Return the figures with what the router adds."""
-    more = {
+    """Return the rounded measures together with the router's overhead."""
+    overhead = {
         "call_added_ms": line["call_ms_routed"] - line["call_ms_direct"],
         "call_ratio": line["call_ms_routed"] / line["call_ms_direct"],
         "chunk_added_ms": line["chunk_ms_routed"] - line["chunk_ms_direct"],
         "chunk_ratio": line["chunk_ms_routed"] / line["chunk_ms_direct"],
         "calls_ratio": line["calls_per_core_routed"] / line["calls_per_core_direct"],
     }
-    return {key: round(value, 3) for key, value in {**line, **more}.items()}
+    return {key: round(value, 3) for key, value in {**line, **overhead}.items()}
 
 
 async def run() -> dict[str, float]:
-    """Start the processes and measure."""
+    """Start the processes and return the measures."""
     profile = {"batch": 64, "tokens_per_s": TOKENS_PER_S, "warm_tokens": 0.0}
     async with processes() as starter:
         local_fleet = await start_local_fleet(
@@ -215,7 +218,7 @@
 
 
 def main() -> None:
-    """Measure one router beside calling the stand-ins directly."""
+    """Measure the overhead of one router and print it; the last line is JSON."""
     try:
         line = run_main(run)
     except FulmarroadError as error:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
@@ -1,4 +1,4 @@
-"""Run several scenarios, policies and seeds one after the other, and compare them."""
+"""Run scenarios, policies and seeds one after the other and tabulate the results."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     ("ttft_p95_ms", 11),
     ("p95_ms", 8),
 )
-BROKEN = (
+VIOLATION_FIELDS = (
     "wrong_answers",
     "doubled",
     "cut_off",
@@ -45,10 +45,10 @@
     "unfinished",
     "bad_exits",
 )
-"""Fields that are 0 as long as every promise holds; a table shows their sum."""
+"""Fields that must be 0 in a correct run; the table shows their sum."""
 
 
-def find(patterns: Sequence[str]) -> list[Path]:
+def find_scenarios(patterns: Sequence[str]) -> list[Path]:
     """Return the scenario files that match any pattern, sorted."""
     found = {path for pattern in patterns for path in SCENARIOS.glob(f"{pattern}.toml")}
     return sorted(found)
@@ -56,12 +56,12 @@
 
 def row_of(line: dict[str, Any]) -> str:
     """Return one run as a row of the table."""
-    shown = {**line, "broken": sum(line[key] for key in BROKEN)}
+    shown = {**line, "broken": sum(line[key] for key in VIOLATION_FIELDS)}
     return "  ".join(f"{shown[key]!s:>{width}}" for key, width in COLUMNS)
 
 
 def header() -> str:
-    """Return the names above the columns."""
+    """Return the header row of the table."""
     return "  ".join(f"{key:>{width}}" for key, width in COLUMNS)
 
 
@@ -72,19 +72,19 @@
     routers: str = "0",
     out: str = "rounds.jsonl",
 ) -> None:
-    """Run every combination; lines are added to a file under bench/results.
+    """Run every combination and append the measures to a file under bench/results.
 
     Args:
-        scenarios: names of scenarios with wildcards, several with commas.
-        policies: fleet, local or fifo, several with commas.
-        seeds: seeds, several with commas.
-        routers: numbers of routers, 0 for the scenario's own, several with commas.
-        out: name of the file of lines.
+        scenarios: scenario names with wildcards, comma-separated.
+        policies: fleet, local or fifo, comma-separated.
+        seeds: seeds, comma-separated.
+        routers: numbers of routers, comma-separated; 0 takes the scenario's.
+        out: name of the JSON Lines file.
 
     """
     RESULTS.mkdir(parents=True, exist_ok=True)
     print(header(), flush=True)
-    for path in find(as_tuple(scenarios)):
+    for path in find_scenarios(as_tuple(scenarios)):
         for policy in as_tuple(policies):
             for count in as_tuple(routers):
                 for seed in as_tuple(seeds):
@@ -92,7 +92,7 @@
 
 
 def _run(path: Path, seed: int, policy: str, routers: int, out: Path) -> None:
-    """Run one combination; a run that fails is told and doesn't end the others."""
+    """Run one combination; report a failed run without stopping the rest."""
     try:
         line = run_file(path, seed, policy, routers)
     except FulmarroadError as error:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
@@ -1,4 +1,4 @@
-"""Run one scenario on real processes and measure it from outside."""
+"""Run one scenario on real processes and measure it from outside them."""
 
 from __future__ import annotations
 
@@ -46,26 +46,26 @@
 RESULTS = Path("bench/results")
 POLICIES = ("fleet", "local", "fifo")
 FIRST_TOKEN_TARGET_S = 0.5
-"""Seconds to the first token: what a cold stand-in engine needs without a queue."""
+"""Seconds to the first token that a cold stand-in engine needs without a queue."""
 GAP_ALLOWANCE = 1.24
-"""Times the gap between tokens of an uncrowded engine (62 ms where it takes 50)."""
+"""Factor on the token gap of an unloaded engine: 50 ms give a target of 62 ms."""
 CONTROL_FIELDS = (
     "control_bytes_per_node_s",
     "control_cpu_share",
     "control_memory_mb",
 )
 CALLERS = "callers"
-NOTHING_YET = {"bytes_sent": 0, "bytes_received": 0, "cpu_s": 0.0}
+ZERO_CONTROL_USAGE = {"bytes_sent": 0, "bytes_received": 0, "cpu_s": 0.0}
 READY_POLL_S = 0.5
-"""Seconds between the balancer's looks at each router's readiness."""
+"""Seconds between the balancer's readiness checks of each router."""
 DRAIN_S = 14.0
-"""Seconds that answers may take to end once no new calls are sent."""
-TELL_DELAY_S = 0.05
-"""Seconds on the way of a report between two routers on one machine, under load."""
+"""Seconds that running answers may take to end after the last call was sent."""
+REPORT_DELAY_S = 0.05
+"""Delay of a report between two routers on one machine under load, in seconds."""
 
 
 def layout_of(scenario: Scenario, routers: int) -> Layout:
-    """Return the fleet of a scenario, spread evenly over the data centres."""
+    """Return the layout of a scenario's fleet, spread evenly over the data centres."""
     fleet = scenario.fleet
     centres = tuple(f"centre-{n + 1}" for n in range(fleet.data_centres))
     ports = free_ports(fleet.engines + fleet.plains)
@@ -100,7 +100,7 @@
 
 @define(eq=False)
 class Experiment:
-    """Run a scenario on a fleet that is up."""
+    """Run a scenario on a started fleet and hold what was observed."""
 
     scenario: Scenario
     local_fleet: LocalFleet
@@ -126,32 +126,32 @@
         self.balancer = Balancer(addresses, random.Random(self.seed), spread)
 
     async def run(self) -> None:
-        """Warm up, measure, and let everything end."""
+        """Warm up, measure, then wait up to `DRAIN_S` for running calls."""
         traffic = Traffic(self.scenario, self.balancer, self.callers, self.seed)
         async with anyio.create_task_group() as group:
             self.faults = FaultInjector(self.local_fleet, self.balancer, group)
             group.start_soon(self._watch_readiness)
             group.start_soon(traffic.run)
             await anyio.sleep(self.scenario.warm_s)
-            await self._measured(group)
+            await self._run_measured_period(group)
             traffic.stopped = True
             with anyio.move_on_after(DRAIN_S):
                 while self.callers.running:
                     await anyio.sleep(0.05)
             group.cancel_scope.cancel()
 
-    async def _measured(self, group: Any) -> None:
-        self.before = await self._control()
-        self.cpu_before = self._cpu()
+    async def _run_measured_period(self, group: Any) -> None:
+        self.before = await self._control_usage()
+        self.cpu_before = self._cpu_seconds()
         self.start = time.monotonic()
         group.start_soon(self.faults.run, self.scenario.faults, self.start)
         await anyio.sleep(self.scenario.seconds)
         self.end = time.monotonic()
-        self.after = await self._control()
-        self.cpu_after = self._cpu()
+        self.after = await self._control_usage()
+        self.cpu_after = self._cpu_seconds()
 
-    async def _control(self) -> dict[str, Mapping[str, Any]]:
-        """Return each router's own account of its control traffic."""
+    async def _control_usage(self) -> dict[str, Mapping[str, Any]]:
+        """Return the control traffic that each reachable router reports for itself."""
         found = {}
         for name in list(self.local_fleet.rows):
             try:
@@ -162,21 +162,21 @@
                 found[name] = control
         return found
 
-    def _cpu(self) -> dict[str, float]:
+    def _cpu_seconds(self) -> dict[str, float]:
         for child in self.local_fleet.starter.children:
             child.sample()
         used = {child.name: child.cpu_s for child in self.local_fleet.starter.children}
         return {**used, CALLERS: time.process_time()}
 
     async def _watch_readiness(self) -> None:
-        """Pass over routers that aren't ready, as the platform's balancer does."""
+        """Exclude routers that aren't ready, as the platform's load balancer does."""
         while True:
             async with anyio.create_task_group() as group:
                 for name, row in list(self.local_fleet.rows.items()):
-                    group.start_soon(self._look, name, row.admin_address)
+                    group.start_soon(self._check_readiness, name, row.admin_address)
             await anyio.sleep(READY_POLL_S)
 
-    async def _look(self, name: str, address: str) -> None:
+    async def _check_readiness(self, name: str, address: str) -> None:
         answer = await call(address, Request("GET", "/readyz"), timeout_s=1.0)
         if answer.status != 200:
             self.balancer.unready.add(name)
@@ -188,31 +188,33 @@
 
 
 def control_measures(experiment: Experiment) -> dict[str, float | None]:
-    """Return control traffic, processor share and memory of a router, as means.
+    """Return the mean control traffic, processor share and memory of a router.
 
-    A router that started within the measured time counts from its start.
+    A router that started during the measured period counts from its start.
     """
-    spans, totals = 0.0, {"bytes": 0.0, "cpu_s": 0.0, "memory_bytes": 0.0}
+    router_seconds, totals = 0.0, {"bytes": 0.0, "cpu_s": 0.0, "memory_bytes": 0.0}
     for name, after in experiment.after.items():
-        before = experiment.before.get(name, NOTHING_YET)
-        began = max(experiment.start, experiment.local_fleet.routers[name].started)
-        spans += experiment.end - began
+        before = experiment.before.get(name, ZERO_CONTROL_USAGE)
+        measured_from = max(
+            experiment.start, experiment.local_fleet.routers[name].started
+        )
+        router_seconds += experiment.end - measured_from
         for key in ("bytes_sent", "bytes_received"):
             totals["bytes"] += after[key] - before[key]
         totals["cpu_s"] += after["cpu_s"] - before["cpu_s"]
         totals["memory_bytes"] += after["memory_bytes"]
-    if not spans:
+    if not router_seconds:
         return dict.fromkeys(CONTROL_FIELDS)
     values = (
-        round(totals["bytes"] / spans, 1),
-        round(totals["cpu_s"] / spans, 5),
+        round(totals["bytes"] / router_seconds, 1),
+        round(totals["cpu_s"] / router_seconds, 5),
         round(totals["memory_bytes"] / len(experiment.after) / 1e6, 2),
     )
     return dict(zip(CONTROL_FIELDS, values, strict=True))
 
 
 def cpu_share(experiment: Experiment, names: Sequence[str]) -> float:
-    """Return the mean share of a core that whole processes used."""
+    """Return the mean share of a core that the named processes used."""
     seconds = experiment.end - experiment.start
     before, after = experiment.cpu_before, experiment.cpu_after
     shares = [
@@ -224,7 +226,7 @@
 
 
 def bound_of(scenario: Scenario, layout: Layout, engines: Sequence[Any]) -> float:
-    """Return the bound of the fairness gap that the fleet's queue promises."""
+    """Return the upper bound of the fairness gap that the fleet queue guarantees."""
     largest = max(
         max(group.tokens_high, group.long_tokens if group.long_share else 0)
         + PROMPT_COST * (group.prompt_high + MAX_SHARED_PREFIX_WORDS)
@@ -236,7 +238,7 @@
         shards=shards,
         rate=len(engines) * scenario.engine.batch * scenario.engine.tokens_per_s,
         interval_s=spread_interval(shards - 1, len(layout.workspaces)),
-        delay_s=TELL_DELAY_S,
+        delay_s=REPORT_DELAY_S,
         largest_cost=largest,
         estimate_error=largest,
         min_weight=min(row.weight for row in layout.workspaces),
@@ -246,7 +248,7 @@
 async def run_scenario(
     scenario: Scenario, seed: int, policy: str, routers: int, directory: Path
 ) -> dict[str, Any]:
-    """Run a scenario once and return its line."""
+    """Run a scenario once and return its measures."""
     layout = layout_of(scenario, routers)
     profile = attrs.asdict(scenario.engine)
     async with processes(directory) as starter:
@@ -262,13 +264,13 @@
         )
         await starter.stop_all()
     run = run_of(experiment, engines, plains)
-    draw(run, experiment.faults.marks, directory)
-    _keep_failures(run, directory)
+    draw(run, experiment.faults.injected, directory)
+    _write_incomplete_calls(run, directory)
     return line_of(experiment, run, policy)
 
 
-def _keep_failures(run: Run, directory: Path) -> None:
-    """Write every call that did not complete, for whoever looks for the cause."""
+def _write_incomplete_calls(run: Run, directory: Path) -> None:
+    """Write every call that did not complete to a file, for diagnosis."""
     lines = [
         json.dumps({"after_s": round(result.sent_at - run.start, 3), **asdict(result)})
         for result in run.results
@@ -278,7 +280,7 @@
 
 
 def run_of(experiment: Experiment, engines: Any, plains: Any) -> Run:
-    """Return what was seen, for the measures."""
+    """Return the observations that the measures are computed from."""
     layout, faults = experiment.local_fleet.layout, experiment.faults
     return Run(
         experiment.start,
@@ -295,7 +297,7 @@
 
 
 def line_of(experiment: Experiment, run: Run, policy: str) -> dict[str, Any]:
-    """Return the run's line of measures."""
+    """Return the measures of a run, one output line."""
     scenario, faults = experiment.scenario, experiment.faults
     codes = [exit_code(child) for child in experiment.local_fleet.routers.values()]
     return {
@@ -328,14 +330,14 @@
 
 
 def table_of(line: Mapping[str, Any]) -> str:
-    """Return a line of measures as a table."""
+    """Return the measures as a text table, one row each."""
     return "\n".join(f"{key:<28} {value}" for key, value in line.items()) + "\n"
 
 
 def run_file(path: Path, seed: int, policy: str, routers: int) -> dict[str, Any]:
-    """Run a scenario's file once, keep the results and return the line."""
+    """Run a scenario file once, write the results and return the measures."""
     if policy not in POLICIES:
-        raise ConfigurationError(f"The policy is one of {', '.join(POLICIES)}.")
+        raise ConfigurationError(f"The policy must be one of {', '.join(POLICIES)}.")
     scenario = load_scenario(path)
     count = routers or scenario.fleet.routers
     directory = _empty_directory(f"{scenario.name}-{policy}-{count}-{seed}")
@@ -358,13 +360,13 @@
 
 
 def main(scenario: str, seed: int = 1, policy: str = "fleet", routers: int = 0) -> None:
-    """Run a scenario; the last line printed is its measures as JSON.
+    """Run a scenario and print its measures; the last line is JSON.
 
     Args:
         scenario: path of the scenario's TOML file.
-        seed: seed of the calls.
+        seed: seed of the random calls.
         policy: fleet, local or fifo.
-        routers: how many routers, 0 for the scenario's own number.
+        routers: number of routers; 0 takes the scenario's number.
 
     """
     try:
