--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -78,7 +78,7 @@
         await self._responder.finish()
 
 
-class KeyedRunner:
+class IdempotentRunner:
     """Run calls with idempotency keys at most once.
 
     The groups of routers that store the keys decide whether a call may be sent.
--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -62,7 +62,7 @@
 from fulmarroad_router.execution import Execution
 from fulmarroad_router.gate import CallGate
 from fulmarroad_router.http_server import HttpServer
-from fulmarroad_router.keyed import KeyedRunner
+from fulmarroad_router.keyed import IdempotentRunner
 from fulmarroad_router.lookup import Lookup
 from fulmarroad_router.operations import RouterOperations
 from fulmarroad_router.parts import build_key_groups, build_metrics, load_tls_files
@@ -71,7 +71,7 @@
 
 logger = logging.getLogger("fulmarroad.router")
 
-NOTICE_S = 1.0
+READINESS_GRACE_S = 1.0
 """Time for which a draining router still accepts calls.
 
 The platform's load balancer polls /readyz about once a second. Calls that it sends
@@ -95,7 +95,7 @@
         self._tls = load_tls_files(settings)
         self._gate = CallGate()
         self._cut: set[str] = set()
-        self._drain_asked = anyio.Event()
+        self._drain_requested = anyio.Event()
         self._bound = anyio.Event()
         self._drain_cause = ""
         self._lookup: Lookup | None = None
@@ -168,7 +168,7 @@
             await group.start(self._watch_signals)
             group.start_soon(self._open_gate)
             group.start_soon(self._run_tree)
-            await self._drain_asked.wait()
+            await self._drain_requested.wait()
             await self._shut_down()
             group.cancel_scope.cancel()
         await self._backends.close()
@@ -182,10 +182,10 @@
 
     def request_drain(self, cause: str) -> None:
         """Start the graceful shutdown."""
-        if not self._drain_asked.is_set():
+        if not self._drain_requested.is_set():
             self._drain_cause = cause
             emit(logger, Event.DRAIN_ASKED, cause=cause)
-            self._drain_asked.set()
+            self._drain_requested.set()
 
     async def _run_tree(self) -> None:
         await Supervisor(
@@ -256,7 +256,7 @@
         self._coordinator.send_command(StepDownAll(done))
         await done.wait()
         with anyio.move_on_after(self._settings.limits.drain_timeout_s):
-            await anyio.sleep(NOTICE_S)
+            await anyio.sleep(READINESS_GRACE_S)
             self._gate.close()
             await self._gate.wait_idle()
 
@@ -268,7 +268,7 @@
             self._clock,
             f"{self._settings.router.name}/{self._incarnation}",
         )
-        runner = KeyedRunner(execution, self._keys)
+        runner = IdempotentRunner(execution, self._keys)
         app = CallersApp(
             lambda: self._lookup,
             runner,
--- a/packages/fulmarroad-router/tests/router_bed.py
+++ b/packages/fulmarroad-router/tests/router_bed.py
@@ -38,7 +38,7 @@
 from fulmarroad_router.backend import FailedAfterSend, FailedBeforeSend
 from fulmarroad_router.execution import Execution
 from fulmarroad_router.gate import CallGate
-from fulmarroad_router.keyed import KeyedRunner
+from fulmarroad_router.keyed import IdempotentRunner
 
 KEY = "key-of-coop"
 CENTRE = "fes-1"
@@ -210,7 +210,7 @@
             anyio.current_time,
             "router-a/1",
         )
-        self.runner = KeyedRunner(execution, self._keys())
+        self.runner = IdempotentRunner(execution, self._keys())
         self.app = CallersApp(
             lambda: _Lookup(self.tables) if self.tables else None,
             self.runner,
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
@@ -39,7 +39,7 @@
 
 logger = logging.getLogger("fulmarroad.serving")
 
-NOTICE_S = 2.5
+READINESS_GRACE_S = 2.5
 """Time for which a draining router still accepts calls. The balancer polls readiness
 each second and removes a router after two failures."""
 
@@ -294,7 +294,7 @@
         self._peers.trigger_report()
         max_drain_s = self._settings.grace_s - GRACE_MARGIN_S
         with anyio.move_on_after(max_drain_s):
-            await anyio.sleep(min(NOTICE_S, max_drain_s / 2))
+            await anyio.sleep(min(READINESS_GRACE_S, max_drain_s / 2))
             self._gate.close()
             await self._callers.stop()
             await self._gate.wait_idle()
