--- a/packages/fulmarroad-bench/src/fulmarroad_bench/__init__.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, demo and experiments; nothing here is needed to run a fleet."""
+"""Stand-ins, demo and experiments; a production fleet needs none of them."""
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_answers.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_answers.py
@@ -1,4 +1,4 @@
-"""What each stand-in must answer, so that any caller can work it out again."""
+"""Define the stand-ins' answers, so that a caller can compute what to expect."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 BENCH_ID_HEADER = "x-bench-id"
 WORKSPACE_HEADER = "fulmarroad-workspace"
 BLOCK_WORDS = 16
-"""Words of a prompt in one block of the prefix cache, as in common engines."""
+"""Prompt words per block of the prefix cache, as in common engines."""
 
 
 def token_at(request_id: str, position: int) -> str:
-    """Return the token of an answer at one position."""
+    """Return the token at one position of an answer."""
     return f"{zlib.crc32(f'{request_id}:{position}'.encode()) & 0xFFFF:04x} "
 
 
 def expected_answer(request_id: str, tokens: int, start: int = 0) -> str:
     """Return the text of an answer from position `start` up to `tokens`."""
-    return "".join(token_at(request_id, place) for place in range(start, tokens))
+    return "".join(token_at(request_id, position) for position in range(start, tokens))
 
 
 def default_tokens(request_id: str) -> int:
-    """Return the length of an answer whose request names none, in tokens."""
+    """Return the length in tokens of an answer whose request states none."""
     spread = zlib.crc32(request_id.encode()) % DEFAULT_TOKENS_SPREAD
     return DEFAULT_TOKENS_LEAST + spread
 
@@ -35,8 +35,8 @@
 def answer_tokens(request_id: str, body: Mapping[str, Any]) -> int:
     """Return the true length of the answer to a request body, in tokens.
 
-    `metadata.tokens` is the true cost, which no router should read; `max_tokens` caps
-    it, as a caller's rough hint. With `max_tokens` alone the answer is that long.
+    `metadata.tokens` is the true cost, which routers must not read. `max_tokens`, a
+    caller's rough estimate, limits it; without `metadata.tokens` it is the length.
     """
     metadata = body.get("metadata") or {}
     limit = body.get("max_tokens") or body.get("max_completion_tokens")
@@ -49,7 +49,7 @@
 def request_id_of(body: Mapping[str, Any], headers: Mapping[str, str]) -> str:
     """Return the id that a request's answer is derived from.
 
-    The body's `metadata.id` comes first, for a router may set `X-Request-Id` anew.
+    The body's `metadata.id` comes first because a router may replace `X-Request-Id`.
     """
     metadata = body.get("metadata") or {}
     return (
@@ -62,7 +62,7 @@
 
 
 def prompt_words(body: Mapping[str, Any]) -> list[str]:
-    """Return the words of a chat request's prompt; a word counts as a token."""
+    """Return the words of a chat request's prompt; each word counts as a token."""
     words: list[str] = []
     for message in body.get("messages") or []:
         content = message.get("content")
@@ -72,7 +72,7 @@
 
 
 def block_hashes(words: list[str]) -> tuple[int, ...]:
-    """Return the chained hashes of a prompt's whole leading blocks."""
+    """Return the chained hashes of a prompt's complete blocks, from its start on."""
     hashes: list[int] = []
     value = 0
     for start in range(0, len(words) - BLOCK_WORDS + 1, BLOCK_WORDS):
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
@@ -1,4 +1,4 @@
-"""A lean HTTP caller: one connection for each call, and every time of it noted."""
+"""Minimal HTTP client: one connection per call, with the times of each call."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 RECEIVE_BYTES = 65536
 CONNECT_S = 2.0
-"""Seconds until a connection that isn't made counts as refused."""
+"""Timeout of a connection attempt in seconds; after it the attempt has failed."""
 
 
 @frozen
 class Request:
-    """Hold one request as it goes over the wire."""
+    """Hold the parts of one HTTP request."""
 
     method: str
     path: str
@@ -24,7 +24,7 @@
     body: bytes = b""
 
     def encode(self, host: str) -> bytes:
-        """Return the bytes of the request."""
+        """Return the request as sent to `host`."""
         lines = [f"{self.method} {self.path} HTTP/1.1", f"host: {host}"]
         lines += [f"{key}: {value}" for key, value in self.headers]
         lines += [f"content-length: {len(self.body)}", "connection: close"]
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class Answer:
-    """Collect one answer; times are monotonic seconds."""
+    """Collect one response; times are monotonic seconds."""
 
     sent_at: float = 0.0
     connected: bool = False
@@ -47,18 +47,18 @@
     timed_out: bool = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a chunk of the body."""
         if not self.first_at:
             self.first_at = time.monotonic()
         self.chunks += 1
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note that the answer came whole."""
+        """Mark the response as complete."""
         self.complete = True
 
 
@@ -70,10 +70,10 @@
     disconnect_after_chunks: int | None = None,
     answer: Answer | None = None,
 ) -> Answer:
-    """Send one request and return what came back, whole or not.
+    """Send one request and return the response, complete or not.
 
-    `disconnect_after_chunks` makes the caller close the connection after so many
-    pieces; `answer` is filled where it is given.
+    With `disconnect_after_chunks` the caller closes the connection after that many
+    chunks of the body. `answer`, if given, is filled in and returned.
     """
     answer = Answer() if answer is None else answer
     answer.sent_at = time.monotonic()
@@ -92,7 +92,7 @@
 async def call_any(
     addresses: Iterable[str], request: Request, **options: float | None
 ) -> Answer:
-    """Send a request to the first address that takes the connection."""
+    """Send a request to the first address that accepts a connection."""
     answer = Answer(sent_at=time.monotonic(), end_at=time.monotonic())
     sent_at = answer.sent_at
     for address in addresses:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_answer.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_answer.py
@@ -1,4 +1,4 @@
-"""How the stand-in engine's answers go over the wire, in the OpenAI format."""
+"""Encode and send the stand-in engine's answers in the OpenAI format."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @define(eq=False)
 class EngineRecord:
-    """Say what became of one request; times are monotonic seconds."""
+    """Record how one request went; times are monotonic seconds."""
 
     id: str
     workspace: str
@@ -36,7 +36,7 @@
 
 @define(eq=False)
 class RunningRequest:
-    """Hold what the handler of one request waits for."""
+    """Hold a running request's job and record, and the event its handler waits for."""
 
     job: Job
     record: EngineRecord
@@ -57,13 +57,13 @@
         self._request_id = request_id
         self._send = send
         model = json.dumps(body.get("model", "draft"))
-        self._head = (
+        self._chunk_prefix = (
             f'data: {{"id":"chatcmpl-{request_id}","object":"chat.completion.chunk",'
             f'"created":{int(time.time())},"model":{model},"choices":['
         )
 
     async def send_all(self) -> None:
-        """Send every token as it comes, then the end."""
+        """Send each token once it is generated, then the final events."""
         running = self._running
         headers = (("content-type", "text/event-stream"), ("cache-control", "no-store"))
         await running.wake.wait()
@@ -86,27 +86,27 @@
 
     async def _send_tokens(self, sent: int, ready: int) -> None:
         stop = self._running.break_at
-        last = ready if stop is None else min(ready, stop)
-        data = "".join(self._event(place) for place in range(sent, last))
+        send_until = ready if stop is None else min(ready, stop)
+        data = "".join(self._event(position) for position in range(sent, send_until))
         if data:
             await self._body_message(data, more=True)
-        if stop is not None and last >= stop:
+        if stop is not None and send_until >= stop:
             self._running.broken = True
             raise AbortConnectionError
 
     async def _send_end(self) -> None:
         reason = '{"index":0,"delta":{},"finish_reason":"stop"}'
         usage = json.dumps(usage_of(self._running))
-        data = f'{self._head}{reason}],"usage":{usage}}}\n\n'
+        data = f'{self._chunk_prefix}{reason}],"usage":{usage}}}\n\n'
         options = self._body.get("stream_options") or {}
         if options.get("include_usage"):
-            data += f'{self._head}],"usage":{usage}}}\n\n'
+            data += f'{self._chunk_prefix}],"usage":{usage}}}\n\n'
         await self._body_message(data + "data: [DONE]\n\n", more=False)
 
-    def _event(self, place: int) -> str:
-        text = token_at(self._request_id, place)
+    def _event(self, position: int) -> str:
+        text = token_at(self._request_id, position)
         return (
-            f'{self._head}{{"index":0,"delta":{{"content":"{text}"}},'
+            f'{self._chunk_prefix}{{"index":0,"delta":{{"content":"{text}"}},'
             '"finish_reason":null}]}\n\n'
         )
 
@@ -119,7 +119,7 @@
 async def send_complete_answer(
     running: RunningRequest, body: dict[str, Any], request_id: str, send: Send
 ) -> None:
-    """Send an answer in one piece once its last token is there."""
+    """Send a whole answer after its last token has been generated."""
     while not running.job.done and not running.broken:
         await running.wake.wait()
         running.wake = anyio.Event()
@@ -144,7 +144,7 @@
 
 
 def usage_of(running: RunningRequest) -> dict[str, Any]:
-    """Return the usage of the whole answer, whatever it was resumed from."""
+    """Return the usage of the complete answer, including tokens before a resume."""
     prompt = running.record.prompt_tokens
     done = running.job.position
     return {
@@ -156,7 +156,7 @@
 
 
 async def send_error(send: Send, status: int, message: str, kind: str) -> None:
-    """Send an error of an OpenAI kind."""
+    """Send an error in the OpenAI format; `kind` is its `type`."""
     error = {"message": message, "type": kind, "param": None, "code": None}
     headers = (("retry-after", "1"),) if status == 503 else ()
     await respond(send, status, json.dumps({"error": error}).encode(), headers)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
@@ -1,4 +1,4 @@
-"""Callers: what they send, how they judge what comes back."""
+"""Define the callers' requests and classify the answers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @frozen
 class CallPlan:
-    """Say what one call is; `tokens` is the true cost, `hint` what the caller says."""
+    """Describe one call; `tokens` is the true cost, `hint` the caller's estimate."""
 
     id: str
     workspace: str
@@ -34,7 +34,7 @@
     timeout_s: float = 60.0
 
     def request(self) -> Request:
-        """Return the request on the wire."""
+        """Return the HTTP request."""
         headers = [
             ("authorization", f"Bearer {self.key}"),
             ("content-type", "application/json"),
@@ -69,7 +69,7 @@
         ).encode()
 
     def expected(self) -> str:
-        """Return the text that the answer must hold."""
+        """Return the text that the answer must contain."""
         if self.kind != "chat":
             return plain_answer(self.id, self.body()).decode()
         return expected_answer(self.id, self.tokens)
@@ -77,13 +77,13 @@
 
 @frozen
 class CallResult:
-    """Say how one call went, as its caller saw it; times are monotonic seconds.
+    """Record how one call went for its caller; times are monotonic seconds.
 
-    Outcomes: `completed`; `wrong` (ended as if whole with other text); `cut_off`
-    (began and visibly broke off, or no answer at all); `refused` (the error says
-    not run); `unknown` (the error says unknown); `failed` (the error says ran, or
-    says nothing); `left` (the caller itself left); `unreachable` (no router took the
-    connection).
+    Outcomes: `completed`; `wrong` (ended normally with another text); `cut_off` (broke
+    off with an error or a closed connection, or had no answer); `refused` (the error's
+    header says that the call did not run); `unknown` (it says that this is unknown);
+    `failed` (it says that the call ran, or the header is missing); `left` (the caller
+    disconnected as planned); `unreachable` (no router accepted the connection).
     """
 
     id: str
@@ -100,7 +100,7 @@
 
 
 def classify_call(plan: CallPlan, answer: Answer) -> CallResult:
-    """Return how a call went."""
+    """Return the result of a call with its outcome."""
     return CallResult(
         plan.id,
         plan.workspace,
@@ -120,16 +120,16 @@
     if not answer.connected:
         return "unreachable"
     if answer.status == 200:
-        return _outcome_of_text(plan, answer)
+        return _outcome_of_answer(plan, answer)
     if plan.disconnect_after_chunks is not None:
         return "left"
     if not answer.status or not answer.complete:
         return "cut_off"
-    said = answer.headers.get(RAN_HEADER, "")
-    return {"not_run": "refused", "unknown": "unknown"}.get(said, "failed")
+    ran = answer.headers.get(RAN_HEADER, "")
+    return {"not_run": "refused", "unknown": "unknown"}.get(ran, "failed")
 
 
-def _outcome_of_text(plan: CallPlan, answer: Answer) -> str:
+def _outcome_of_answer(plan: CallPlan, answer: Answer) -> str:
     text, ended = answer_text(plan, answer)
     if answer.complete and ended:
         return "completed" if text == plan.expected() else "wrong"
@@ -141,11 +141,11 @@
 
 
 def answer_text(plan: CallPlan, answer: Answer) -> tuple[str, bool]:
-    """Return the text of an answer and whether it claims to be whole."""
+    """Return the text of an answer and whether it ended normally."""
     if plan.kind != "chat":
         return answer.body.decode(errors="replace"), answer.complete
     if not plan.stream:
-        return _plain_text(bytes(answer.body)), answer.complete
+        return _complete_answer_text(bytes(answer.body)), answer.complete
     return stream_text(bytes(answer.body))
 
 
@@ -156,11 +156,11 @@
         data = event.removeprefix(b"data: ")
         if data == b"[DONE]":
             return "".join(text), True
-        text.append(_delta(data))
+        text.append(_delta_text(data))
     return "".join(text), False
 
 
-def _delta(data: bytes) -> str:
+def _delta_text(data: bytes) -> str:
     try:
         choices = json.loads(data).get("choices") or []
     except (ValueError, AttributeError):
@@ -168,7 +168,7 @@
     return "".join(choice["delta"].get("content") or "" for choice in choices)
 
 
-def _plain_text(raw: bytes) -> str:
+def _complete_answer_text(raw: bytes) -> str:
     try:
         return json.loads(raw)["choices"][0]["message"]["content"]
     except (ValueError, KeyError, IndexError, TypeError):
@@ -188,13 +188,13 @@
 
 @define(eq=False)
 class Callers:
-    """Send calls and keep what came of them."""
+    """Send calls and collect their results."""
 
     results: list[CallResult] = field(factory=list)
     running: int = 0
 
     async def send(self, plan: CallPlan, addresses: Sequence[str]) -> CallResult:
-        """Send one call to the first router of the list that takes it."""
+        """Send one call to the first router that accepts the connection."""
         self.running += 1
         try:
             answer = await call_any(
@@ -214,8 +214,8 @@
 class Balancer:
     """Spread calls over routers as the platform's balancer does.
 
-    `spread` bounds how many routers see one workspace, so that workspaces are spread
-    unevenly; a router that isn't taking calls is passed over.
+    `spread` limits the routers that a workspace's calls come to first, so that the load
+    on routers is uneven. Routers in `unready` get no calls.
     """
 
     addresses: dict[str, str]  # by router name
@@ -224,24 +224,24 @@
     unready: set[str] = field(factory=set)
 
     def ranked_addresses(self, workspace: str) -> list[str]:
-        """Return the addresses to try, best first."""
-        taking = [name for name in self.addresses if name not in self.unready]
-        self.rng.shuffle(taking)
-        few = self.spread.get(workspace, 0)
-        if few:
-            taking.sort(key=lambda name: _rank(workspace, name))
-            head = taking[:few]
-            self.rng.shuffle(head)
-            taking = head + taking[few:]
-        return [self.addresses[name] for name in taking]
-
-
-def _rank(workspace: str, name: str) -> int:
+        """Return the addresses to try, in order of preference."""
+        ready = [name for name in self.addresses if name not in self.unready]
+        self.rng.shuffle(ready)
+        limit = self.spread.get(workspace, 0)
+        if limit:
+            ready.sort(key=lambda name: _spread_rank(workspace, name))
+            preferred = ready[:limit]
+            self.rng.shuffle(preferred)
+            ready = preferred + ready[limit:]
+        return [self.addresses[name] for name in ready]
+
+
+def _spread_rank(workspace: str, name: str) -> int:
     return random.Random(f"{workspace}/{name}").randrange(1 << 30)
 
 
 def summary_counts(results: Sequence[CallResult]) -> dict[str, int]:
-    """Return how many calls had each outcome."""
+    """Return the number of calls by outcome."""
     counts: dict[str, Any] = {}
     for result in results:
         counts[result.outcome] = counts.get(result.outcome, 0) + 1
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
@@ -1,4 +1,4 @@
-"""Small ASGI helpers and a server that a stand-in can take down and bring back."""
+"""Small ASGI helpers, and a server that a stand-in can stop and start again."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 POLL_S = 0.01
-"""Seconds between looks at a server that starts or stops."""
+"""Seconds between checks of a server that is starting or stopping."""
 
 
 class AbortConnectionError(Exception):
-    """End the connection in the middle of an answer, as a crash would."""
+    """Abort the connection in the middle of an answer, as a crash would."""
 
 
 class CallerDisconnectedError(Exception):
-    """Report that the caller closed the connection before its body was whole."""
+    """Report that the caller closed the connection before sending its whole body."""
 
 
 @frozen
@@ -42,7 +42,7 @@
     body: bytes
 
     def json(self) -> Any:
-        """Return the body as JSON, or an empty table if it is none."""
+        """Return the parsed JSON body, or an empty object if it has none."""
         try:
             return json.loads(self.body) if self.body else {}
         except ValueError:
@@ -63,19 +63,19 @@
     return Call(
         scope["method"],
         scope["path"],
-        _query(scope.get("query_string", b"")),
+        _parse_query(scope.get("query_string", b"")),
         {key: value.decode("latin-1") for key, value in headers.items()},
         b"".join(chunks),
     )
 
 
-def _query(raw: bytes) -> dict[str, str]:
+def _parse_query(raw: bytes) -> dict[str, str]:
     pairs = (item.split("=", 1) for item in raw.decode().split("&") if "=" in item)
     return {pair[0]: pair[1] for pair in pairs}
 
 
 async def wait_for_disconnect(receive: Receive) -> None:
-    """Return once the caller has closed the connection."""
+    """Wait until the caller has closed the connection."""
     while (await receive())["type"] != "http.disconnect":
         pass
 
@@ -101,13 +101,13 @@
 def start_message(
     status: int, headers: tuple[tuple[str, str], ...]
 ) -> MutableMapping[str, Any]:
-    """Return the message that begins a response."""
+    """Return the ASGI message that starts a response."""
     pairs = [(key.encode(), value.encode("latin-1")) for key, value in headers]
     return {"type": "http.response.start", "status": status, "headers": pairs}
 
 
 class _QuietServer(uvicorn.Server):
-    """A server that leaves signals to the process that runs several of them."""
+    """Run without signal handlers: the process runs several servers and has its own."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -115,7 +115,7 @@
 
 
 class Listener:
-    """Serve one app on one loopback port; can vanish and come back."""
+    """Serve one app on one loopback port; it can be closed and bound again."""
 
     def __init__(self, app: App, port: int = 0, host: str = "127.0.0.1") -> None:
         self._app = app
@@ -131,16 +131,16 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether the port is open."""
+        """Return whether the server is running or starting."""
         return self._server is not None
 
     @property
     def bound(self) -> bool:
-        """Tell whether the port is open and not yet served."""
+        """Return whether the port is open but not served yet."""
         return self._socket is not None and self._server is None
 
     def bind(self) -> None:
-        """Open the port, so that its number is known before serving."""
+        """Open the port, so that its number is known before `serve` runs."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self._host, self.port))
@@ -171,7 +171,7 @@
             self._close_socket()
 
     def drop(self) -> None:
-        """Close the port and break every connection, as a crash would."""
+        """Close the port and abort every connection, as a crash would."""
         server = self._server
         if server is None:
             return
@@ -184,18 +184,18 @@
             connection.transport.abort()
 
     def close(self) -> None:
-        """Ask the server to end."""
+        """Ask the server to stop without waiting for open connections."""
         if self._server is not None:
             self._server.force_exit = True
             self._server.should_exit = True
 
     async def wait_up(self) -> None:
-        """Return once connections are answered."""
+        """Wait until the server accepts connections."""
         while self._server is None or not self._server.started:
             await anyio.sleep(POLL_S)
 
     async def wait_down(self) -> None:
-        """Return once the server has ended."""
+        """Wait until the server has stopped."""
         while self._server is not None:
             await anyio.sleep(POLL_S)
 
@@ -222,7 +222,7 @@
 
 
 async def wait_for_signal() -> None:
-    """Return at the first SIGTERM or SIGINT."""
+    """Wait for SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_standin_host.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_standin_host.py
@@ -1,4 +1,4 @@
-"""Several stand-ins of one kind in one process, with one control port."""
+"""Run several stand-ins of one kind in one process, with one control port."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     wait_for_signal,
 )
 
-LOOK_S = 0.02
-"""Seconds between looks at a port that may have come back."""
+PORT_CHECK_S = 0.02
+"""Seconds between checks whether a closed port has been bound again."""
 
 
 class StandIn(Protocol):
-    """What `StandInHost` needs of a stand-in."""
+    """Define what `StandInHost` needs of a stand-in."""
 
     name: str
     listener: Listener | None
@@ -38,17 +38,17 @@
         """Return the app of the control paths."""
 
     async def run(self) -> None:
-        """Do what the stand-in does beside answering calls."""
+        """Run the stand-in's background work until cancelled."""
 
 
 class Controlled(Protocol):
-    """What takes a scenario's orders and tells what it has seen."""
+    """Define what `handle_control_request` needs of a stand-in."""
 
     async def control(self, order: dict[str, Any]) -> None:
-        """Obey an order of the scenario."""
+        """Apply a control order of the scenario."""
 
     def report(self) -> dict[str, Any]:
-        """Return what was seen."""
+        """Return the records of the calls received."""
 
 
 async def handle_control_request(
@@ -66,7 +66,7 @@
 
 
 class StandInHost:
-    """Serve stand-ins and their control port."""
+    """Serve stand-ins on their data ports, and one control port for all of them."""
 
     def __init__(
         self, standins: Sequence[StandIn], ports: Sequence[int], control_port: int = 0
@@ -83,22 +83,22 @@
         async with anyio.create_task_group() as group:
             for standin in self._standins.values():
                 group.start_soon(standin.run)
-                group.start_soon(self._keep_up, standin)
+                group.start_soon(self._serve_when_bound, standin)
             group.start_soon(self.control.serve)
 
     def announce(self) -> None:
-        """Print where everything listens."""
+        """Print the address of each stand-in and of the control port."""
         for standin in self._standins.values():
             if standin.listener is not None:
                 print(f"{standin.name} on {standin.listener.address}", flush=True)
         print(f"control on {self.control.address}", flush=True)
 
-    async def _keep_up(self, standin: StandIn) -> None:
+    async def _serve_when_bound(self, standin: StandIn) -> None:
         """Serve a stand-in's port whenever it is bound."""
         while True:
             if standin.listener is not None and standin.listener.bound:
                 await standin.listener.serve()
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(PORT_CHECK_S)
 
     async def _control_app(self, scope: Scope, receive: Receive, send: Send) -> None:
         name = scope["path"].strip("/").split("/")[0]
@@ -112,10 +112,10 @@
 
 
 def as_tuple(value: object) -> tuple[str, ...]:
-    """Return what the command line gave, one value or several with commas.
+    """Return the values of a command-line option that accepts several with commas.
 
-    The command line's library turns some such lists into tuples and leaves others as
-    text, by the characters in them.
+    Fire parses some such lists into tuples and leaves others as text, depending on the
+    characters in them.
     """
     if isinstance(value, list | tuple):
         return tuple(str(item) for item in value)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
@@ -1,4 +1,4 @@
-"""Turn a scenario's groups of workspaces into calls, the same for the same seed."""
+"""Generate the calls of a scenario's workspaces; the same seed gives the same."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from fulmarroad_bench._scenario import Group, Scenario
 
 PAUSE_AFTER_REFUSAL_S = 0.25
-"""Seconds that a caller waits after anything but an answer."""
+"""Seconds that a caller waits after a call that was not completed."""
 KEYED_SHARE = 0.7
 """Share of ledger calls with an idempotency key."""
 MAX_SHARED_PREFIX_WORDS = 48
-"""Words at most by which all prompts of a workspace begin, cached as a prefix."""
+"""Maximum words with which all prompts of a workspace begin; engines cache them."""
 REPEAT_SHARE = 0.2
-"""Share of keyed ledger calls that are sent again, as after a lost answer."""
+"""Share of keyed ledger calls that are repeated, as after a lost answer."""
 
 
 def workspace_names(group: Group) -> list[str]:
@@ -33,7 +33,7 @@
 
 
 def workspace_rows(scenario: Scenario) -> tuple[WorkspaceRow, ...]:
-    """Return every workspace of a scenario."""
+    """Return all workspaces of a scenario."""
     return tuple(
         WorkspaceRow(name, group.weight)
         for group in scenario.groups
@@ -42,7 +42,7 @@
 
 
 class CallGenerator:
-    """Make the calls of one workspace from a seed."""
+    """Generate the calls of one workspace from a seed."""
 
     def __init__(self, group: Group, workspace: WorkspaceRow, seed: int) -> None:
         self._group = group
@@ -51,14 +51,14 @@
         self._numbers = itertools.count(1)
 
     def chat(self) -> CallPlan:
-        """Return a call to the model."""
+        """Return a chat call."""
         group, rng = self._group, self._rng
         tokens = rng.randint(group.tokens_low, group.tokens_high)
         if rng.random() < group.long_share:
             tokens = group.long_tokens
         words = rng.randint(group.prompt_low, group.prompt_high)
         return CallPlan(
-            self._id("c"),
+            self._next_id("c"),
             self._workspace.name,
             self._workspace.key,
             stream=rng.random() < group.stream_share,
@@ -68,8 +68,8 @@
         )
 
     def post(self) -> CallPlan:
-        """Return a call to the ledger service that may not be repeated."""
-        call_id = self._id("p")
+        """Return a call to the ledger service, which must not run twice."""
+        call_id = self._next_id("p")
         key = f"key-{call_id}" if self._rng.random() < KEYED_SHARE else ""
         return CallPlan(
             call_id,
@@ -81,19 +81,19 @@
             timeout_s=30.0,
         )
 
-    def gap_s(self, rate: float) -> float:
-        """Return the seconds to the next call of an open stream of calls."""
+    def interval_s(self, rate: float) -> float:
+        """Return a random interval to the next call, for `rate` calls per second."""
         return self._rng.expovariate(rate)
 
-    def repeats(self) -> bool:
-        """Tell whether a keyed call is sent again."""
+    def should_repeat(self) -> bool:
+        """Return whether a keyed call is to be repeated, by `REPEAT_SHARE`."""
         return self._rng.random() < REPEAT_SHARE
 
-    def _id(self, kind: str) -> str:
+    def _next_id(self, kind: str) -> str:
         return f"{self._workspace.name}-{kind}{next(self._numbers)}"
 
     def _prompt(self, words: int) -> str:
-        """Return a prompt that begins as all of the workspace's do."""
+        """Return a prompt that begins with the words common to the workspace."""
         start = f"{self._workspace.name} letter "
         common = start * min(words // 4, MAX_SHARED_PREFIX_WORDS // 2)
         return common + " ".join(f"w{self._rng.randrange(999)}" for _ in range(words))
@@ -101,7 +101,7 @@
 
 @define(eq=False)
 class Traffic:
-    """Keep the calls of every workspace coming until told to stop."""
+    """Send the calls of all workspaces until `stopped` is set."""
 
     scenario: Scenario
     balancer: Balancer
@@ -112,48 +112,52 @@
     _clock: Callable[[], float] = field(default=time.monotonic)
 
     async def run(self) -> None:
-        """Send calls; return once every one has ended after `stopped` is set."""
+        """Send calls; once `stopped` is set, wait for those still running."""
         self.began = self._clock()
         async with anyio.create_task_group() as group:
             for row in self.scenario.groups:
                 for name in workspace_names(row):
                     workspace = WorkspaceRow(name, row.weight)
-                    maker = CallGenerator(row, workspace, self.seed)
-                    self._start(group, row, maker)
+                    generator = CallGenerator(row, workspace, self.seed)
+                    self._start_callers(group, row, generator)
 
-    def _start(self, group: TaskGroup, row: Group, maker: CallGenerator) -> None:
+    def _start_callers(
+        self, group: TaskGroup, row: Group, generator: CallGenerator
+    ) -> None:
         for _ in range(row.callers):
-            group.start_soon(self._closed_loop, row, maker)
+            group.start_soon(self._closed_loop, row, generator)
         if row.rate:
-            group.start_soon(self._open_loop, row, row.rate, maker.chat, maker)
+            group.start_soon(self._open_loop, row, row.rate, generator.chat, generator)
         if row.ledger_rate:
-            group.start_soon(self._open_loop, row, row.ledger_rate, maker.post, maker)
+            group.start_soon(
+                self._open_loop, row, row.ledger_rate, generator.post, generator
+            )
 
-    async def _closed_loop(self, row: Group, maker: CallGenerator) -> None:
+    async def _closed_loop(self, row: Group, generator: CallGenerator) -> None:
         await anyio.sleep(row.start_s)
-        while self._going(row):
-            result = await self._send(maker.chat())
+        while self._is_active(row):
+            result = await self._send(generator.chat())
             if result.outcome != "completed":
                 await anyio.sleep(PAUSE_AFTER_REFUSAL_S)
             elif row.think_s:
-                await anyio.sleep(maker.gap_s(1.0 / row.think_s))
+                await anyio.sleep(generator.interval_s(1.0 / row.think_s))
 
     async def _open_loop(
         self,
         row: Group,
         rate: float,
-        make: Callable[[], CallPlan],
-        maker: CallGenerator,
+        new_call: Callable[[], CallPlan],
+        generator: CallGenerator,
     ) -> None:
         await anyio.sleep(row.start_s)
         async with anyio.create_task_group() as group:
-            while self._going(row):
-                await anyio.sleep(maker.gap_s(rate))
-                group.start_soon(self._send_once, make(), maker)
+            while self._is_active(row):
+                await anyio.sleep(generator.interval_s(rate))
+                group.start_soon(self._send_once, new_call(), generator)
 
-    async def _send_once(self, plan: CallPlan, maker: CallGenerator) -> None:
+    async def _send_once(self, plan: CallPlan, generator: CallGenerator) -> None:
         result = await self._send(plan)
-        if plan.idempotency_key and maker.repeats():
+        if plan.idempotency_key and generator.should_repeat():
             if result.outcome != "completed":
                 await anyio.sleep(PAUSE_AFTER_REFUSAL_S)
             await self._send(evolve(plan, first_attempt=False))
@@ -163,5 +167,5 @@
             plan, self.balancer.ranked_addresses(plan.workspace)
         )
 
-    def _going(self, row: Group) -> bool:
+    def _is_active(self, row: Group) -> bool:
         return not self.stopped and self._clock() - self.began < row.stop_s
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/engine.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/engine.py
@@ -1,21 +1,21 @@
 """Stand-in for a model engine, in the OpenAI format.
 
-Answer: token `k` of a request is `token_at(id, k)`; the id is the body's
+Answer: token `k` of a request is `token_at(id, k)`. The id is the body's
 `metadata.id`, else the header `X-Bench-Id`, else `X-Request-Id`. A stream sends one
-`data:` event for each token. The last one before `data: [DONE]` has a finish reason and
-the whole usage.
+`data:` event per token. The last event before `data: [DONE]` has a finish reason and
+the complete usage.
 
-Resume: the same body sent again to any engine of the pool, with `X-Resume-Id` (the id
-of the broken request) and `X-Resume-From: N`, gives the answer from token `N` on, as a
-stream of its own; `usage` counts from the start of the whole answer. Nothing needs to
-be left of the first try. An `N` beyond the end is answered 400.
+Resume: a caller sends the same body to any engine of the pool, with `X-Resume-Id` (the
+id of the broken request) and `X-Resume-From: N`. The engine streams the answer from
+token `N` on; `usage` counts from the start of the complete answer. The engine needs no
+state of the first attempt. An `N` beyond the end is answered with status 400.
 
 Cancel: the caller closes the connection; the engine frees the slot at its next step
 and counts the request as cancelled.
 
-On the data port: `POST /v1/chat/completions`, `GET /load` (late),
-`GET /cache/events?after=N` (late, with gaps). On the control port, for each
-engine: `POST /NAME/control`, `GET /NAME/records`.
+On the data port: `POST /v1/chat/completions`, `GET /load` (delayed by `LOAD_LAG_S`),
+`GET /cache/events?after=N` (delayed likewise, with some events missing). On the control
+port, for each engine: `POST /NAME/control`, `GET /NAME/records`.
 """
 
 from __future__ import annotations
@@ -67,47 +67,47 @@
 )
 
 TICK_S = 0.01
-"""Seconds between steps of the batch: below the time between two tokens."""
+"""Seconds between steps of the batch; shorter than the time between two tokens."""
 SAMPLE_S = 0.1
-"""Seconds between samples of work and slots kept for the measures."""
+"""Seconds between the samples of work and slots that the report lists."""
 LOAD_LAG_S = 0.5
 """Seconds by which reported load and cache events lag."""
 EVENT_GAP = 7
-"""Every so many cache events one is lost."""
+"""One of this many cache events is left out, as if it had been lost."""
 
 Clock = Callable[[], float]
 
 
 @frozen
 class Sample:
-    """Show an engine at one moment; `work` and `capacity` only ever grow."""
+    """Hold an engine's state at one time; `work` and `capacity` never decrease."""
 
     at: float
     running: int
-    slots: int  # 0 while it is down, hung or recovering
+    slots: int  # 0 while the engine is down, hung, refusing or recovering
     work: float
     capacity: float
 
 
 @define(eq=False)
 class Engine:
-    """Serve one engine's data and control paths."""
+    """Serve one engine's data and control paths and drive its batch model."""
 
     name: str
     profile: EngineProfile = field(factory=EngineProfile)
     clock: Clock = time.monotonic
     model: BatchModel = field(init=False)
     records: list[EngineRecord] = field(factory=list)
-    service: list[tuple[float, int, int]] = field(factory=list)  # at, record, tokens
+    service: list[tuple[float, int, int]] = field(factory=list)  # time, record, tokens
     samples: list[Sample] = field(factory=list)
     refused: int = 0
     refusing: bool = False
     listener: Listener | None = None
     _running: dict[int, RunningRequest] = field(factory=dict)
-    _breaks: deque[int] = field(factory=deque)
-    _loads: deque[tuple[float, dict[str, Any]]] = field(factory=deque)
+    _pending_breaks: deque[int] = field(factory=deque)
+    _load_history: deque[tuple[float, dict[str, Any]]] = field(factory=deque)
     _event_times: list[float] = field(factory=list)
-    _sampled: float = 0.0
+    _sampled_at: float = 0.0
 
     def __attrs_post_init__(self) -> None:
         self.model = BatchModel(self.profile, now=self.clock())
@@ -119,7 +119,7 @@
         except CallerDisconnectedError:
             return
         if call.path == "/v1/chat/completions" and call.method == "POST":
-            await self._complete(call, receive, send)
+            await self._handle_completion(call, receive, send)
         elif call.path == "/load":
             await respond_json(send, 200, self.load())
         elif call.path == "/cache/events":
@@ -133,24 +133,24 @@
         await handle_control_request(self, scope, receive, send)
 
     async def control(self, order: dict[str, Any]) -> None:
-        """Obey an order of the scenario.
+        """Apply a control order of the scenario.
 
-        `slow`: factor; `die`: true or false; `cold`: true; `refuse`: true or false;
-        `hang`: true or false; `break_streams`: how many of the next answers break off
-        after `after_tokens`.
+        `slow`: factor by which tokens take longer; `die`, `refuse`, `hang`: true or
+        false; `cold`: true; `break_streams`: number of the next answers that break off
+        after `after_tokens` tokens.
         """
         self.model.slow = float(order.get("slow", self.model.slow))
         self.model.hung = bool(order.get("hang", self.model.hung))
         self.refusing = bool(order.get("refuse", self.refusing))
         for _ in range(int(order.get("break_streams", 0))):
-            self._breaks.append(int(order.get("after_tokens", 3)))
+            self._pending_breaks.append(int(order.get("after_tokens", 3)))
         if order.get("cold"):
             self._break_all(self.model.reset_to_cold())
         if "die" in order:
             await self._set_dead(bool(order["die"]))
 
     def tick(self, now: float) -> None:
-        """Advance the batch to `now` and wake who got tokens."""
+        """Advance the batch to `now` and wake the handlers of calls with new tokens."""
         steps = self.model.advance(now)
         for step in steps:
             running = self._running[step.job.job_id]
@@ -161,27 +161,27 @@
             if running.job.done:
                 self.model.remove(running.job)
                 running.wake.set()
-        if now - self._sampled >= SAMPLE_S:
+        if now - self._sampled_at >= SAMPLE_S:
             self._sample(now)
 
     async def run(self) -> None:
-        """Advance the batch for ever."""
+        """Advance the batch until cancelled."""
         while True:
             self.tick(self.clock())
             await anyio.sleep(TICK_S)
 
     def load(self) -> dict[str, Any]:
-        """Return the load as it was a while ago."""
+        """Return the load as it was `LOAD_LAG_S` ago."""
         seen = self.clock() - LOAD_LAG_S
         shown = {"running": 0, "recovering": False}
-        for at, load in self._loads:
+        for at, load in self._load_history:
             if at > seen:
                 break
             shown = load
         return shown
 
     def cache_events(self, after: int) -> list[dict[str, Any]]:
-        """Return the events past a number that are old enough, without lost ones."""
+        """Return events after a number and `LOAD_LAG_S` old, without the lost ones."""
         seen = self.clock() - LOAD_LAG_S
         pairs = zip(self.model.cache_log, self._event_times, strict=False)
         return [
@@ -191,7 +191,7 @@
         ]
 
     def report(self) -> dict[str, Any]:
-        """Return every record, the service over time and the totals."""
+        """Return all records, the tokens generated over time and the totals."""
         return {
             "name": self.name,
             "now": self.clock(),
@@ -208,7 +208,9 @@
             "tokens_per_s": self.profile.tokens_per_s,
         }
 
-    async def _complete(self, call: Call, receive: Receive, send: Send) -> None:
+    async def _handle_completion(
+        self, call: Call, receive: Receive, send: Send
+    ) -> None:
         body = call.json()
         if not isinstance(body, dict) or not body.get("messages"):
             await send_error(send, 400, "messages are missing", "invalid_request_error")
@@ -228,13 +230,15 @@
             return
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._watch, running, receive, group.cancel_scope)
+                group.start_soon(
+                    self._cancel_on_disconnect, running, receive, group.cancel_scope
+                )
                 await self._answer(running, body, request_id, send)
                 group.cancel_scope.cancel()
         except BaseExceptionGroup as errors:
             raise errors.exceptions[0] from None
         finally:
-            self._end(running)
+            self._finish(running)
 
     def _admit(
         self, request_id: str, body: dict[str, Any], call: Call, tokens: int, start: int
@@ -247,7 +251,9 @@
         self.records.append(record)
         try:
             if self.refusing:
-                raise EngineRefusedError("told to refuse")
+                raise EngineRefusedError(
+                    "a control order makes the engine refuse requests"
+                )
             job = self.model.admit(tokens, len(words), block_hashes(words), start)
         except EngineRefusedError:
             record.state = "refused"
@@ -256,13 +262,13 @@
         self._note_cache_events(now)
         running = RunningRequest(job, record, len(self.records) - 1)
         self._running[job.job_id] = running
-        if self._breaks:
-            running.break_at = start + self._breaks.popleft()
+        if self._pending_breaks:
+            running.break_at = start + self._pending_breaks.popleft()
         if self.model.overloaded_cold():
             self._break_all(self.model.crash())
         return running
 
-    async def _watch(
+    async def _cancel_on_disconnect(
         self, running: RunningRequest, receive: Receive, scope: anyio.CancelScope
     ) -> None:
         await wait_for_disconnect(receive)
@@ -280,15 +286,15 @@
         if not running.broken:
             running.record.state = "completed"
 
-    def _end(self, running: RunningRequest) -> None:
+    def _finish(self, running: RunningRequest) -> None:
         self._running.pop(running.job.job_id, None)
         self.model.remove(running.job)
         running.record.end = self.clock()
         if running.record.state == "running":
             running.record.state = "broken" if running.broken else "cancelled"
 
-    def _break_all(self, dropped: list[Job]) -> None:
-        for job in dropped:
+    def _break_all(self, dropped_jobs: list[Job]) -> None:
+        for job in dropped_jobs:
             running = self._running.get(job.job_id)
             if running is not None:
                 running.broken = True
@@ -307,23 +313,23 @@
             self.listener.bind()
 
     def _note_cache_events(self, now: float) -> None:
-        missing = len(self.model.cache_log) - len(self._event_times)
-        self._event_times.extend([now] * missing)
+        new_events = len(self.model.cache_log) - len(self._event_times)
+        self._event_times.extend([now] * new_events)
 
     def _sample(self, now: float) -> None:
-        self._sampled = now
+        self._sampled_at = now
         model = self.model
         up = self.listener is None or self.listener.up
-        works = up and not model.recovering and not model.hung and not self.refusing
-        slots = model.slots if works else 0
+        serving = up and not model.recovering and not model.hung and not self.refusing
+        slots = model.slots if serving else 0
         self.samples.append(
             Sample(now, model.running, slots, model.work, model.capacity)
         )
-        self._loads.append(
+        self._load_history.append(
             (now, {"running": model.running, "recovering": model.recovering})
         )
-        while self._loads and self._loads[0][0] < now - 2 * LOAD_LAG_S:
-            self._loads.popleft()
+        while self._load_history and self._load_history[0][0] < now - 2 * LOAD_LAG_S:
+            self._load_history.popleft()
 
 
 def main(
@@ -332,13 +338,13 @@
     name: str | tuple[str, ...] = "engine",
     **profile: float,
 ) -> None:
-    """Run engines on the ports given, one name for each port.
+    """Run one engine per name, each on its own data port.
 
     Args:
-        port: data port, or several with commas.
+        port: data port, or several separated by commas.
         control_port: port for control and records.
         name: name of each engine, in the order of the ports.
-        profile: any field of `EngineProfile`, for all of them.
+        profile: any field of `EngineProfile`; applies to all engines.
 
     """
     known = EngineProfile(**profile)  # type: ignore[arg-type]
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/plain.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/plain.py
@@ -1,9 +1,9 @@
 """Stand-in for a plain service: a ledger, or bookings and charges.
 
-It records each call before it answers, echoes a body worked out from the call's id and
-body (`plain_answer`), and never looks at idempotency keys: that a call which may not be
-repeated ran once is the routers' promise, and what the records show. The id is
-the header `X-Bench-Id`, else `X-Request-Id`.
+It records each call before it answers. The answer is derived from the call's id and
+body (`plain_answer`). It ignores idempotency keys: the routers have to ensure that a
+call which must not be repeated runs once, and the records show whether it did. The id
+is the header `X-Bench-Id`, else `X-Request-Id`.
 
 On the control port, for each service: `POST /NAME/control`, `GET /NAME/records`.
 """
@@ -45,12 +45,12 @@
 )
 
 SERVICE_S = 0.02
-"""Seconds that one call takes unless told to be slow."""
+"""Default seconds that one call takes; the control order `slow` multiplies them."""
 
 
 @define(eq=False)
 class PlainRecord:
-    """Say what became of one call; times are monotonic seconds."""
+    """Record how one call went; times are monotonic seconds."""
 
     id: str
     workspace: str
@@ -76,7 +76,7 @@
     hanging: bool = False
     slow: float = 1.0
     listener: Listener | None = None
-    _breaks: list[int] = field(factory=list)
+    _pending_breaks: list[int] = field(factory=list)
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the data port."""
@@ -88,7 +88,7 @@
             self.refused += 1
             await respond_json(send, 503, {"error": {"message": "closed"}})
             return
-        record = self._record(call)
+        record = self._record_call(call)
         if self.hanging:
             record.state = "hung"
             await wait_for_disconnect(receive)
@@ -99,28 +99,29 @@
         record.state = "completed"
 
     async def run(self) -> None:
-        """Do nothing: a plain service has no work beside its calls."""
+        """Do nothing: a plain service has no background work."""
 
     async def control_app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the control port."""
         await handle_control_request(self, scope, receive, send)
 
     async def control(self, order: dict[str, Any]) -> None:
-        """Obey an order of the scenario.
+        """Apply a control order of the scenario.
 
-        `slow`: factor; `die`, `refuse`, `hang` (after recording): true or false;
-        `break_calls`: how many of the next answers break off after `after_bytes`.
+        `slow`: factor by which calls take longer; `die`, `refuse`, `hang` (calls are
+        recorded but not answered): true or false; `break_calls`: number of the next
+        answers that break off after `after_bytes` bytes.
         """
         self.slow = float(order.get("slow", self.slow))
         self.hanging = bool(order.get("hang", self.hanging))
         self.refusing = bool(order.get("refuse", self.refusing))
         count = int(order.get("break_calls", 0))
-        self._breaks.extend([int(order.get("after_bytes", 10))] * count)
+        self._pending_breaks.extend([int(order.get("after_bytes", 10))] * count)
         if "die" in order and self.listener is not None:
             await self._set_dead(bool(order["die"]))
 
     def report(self) -> dict[str, Any]:
-        """Return every record."""
+        """Return all records and the number of refused calls."""
         return {
             "name": self.name,
             "now": self.clock(),
@@ -128,7 +129,7 @@
             "refused": self.refused,
         }
 
-    def _record(self, call: Call) -> PlainRecord:
+    def _record_call(self, call: Call) -> PlainRecord:
         headers = call.headers
         record = PlainRecord(
             headers.get(BENCH_ID_HEADER) or headers.get("x-request-id", "none"),
@@ -144,10 +145,10 @@
 
     async def _answer(self, call: Call, record: PlainRecord, send: Send) -> None:
         body = plain_answer(record.id, call.body)
-        if not self._breaks:
+        if not self._pending_breaks:
             await respond(send, 200, body)
             return
-        after = self._breaks.pop(0)
+        after = self._pending_breaks.pop(0)
         record.state = "broken"
         record.end = self.clock()
         length = (("content-length", str(len(body))),)
@@ -172,10 +173,10 @@
     name: str | tuple[str, ...] = "ledger",
     service_s: float = SERVICE_S,
 ) -> None:
-    """Run plain services on the ports given, one name for each port.
+    """Run one plain service per name, each on its own data port.
 
     Args:
-        port: data port, or several with commas.
+        port: data port, or several separated by commas.
         control_port: port for control and records.
         name: name of each service, in the order of the ports.
         service_s: seconds that a call takes.
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/platform.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/platform.py
@@ -1,12 +1,14 @@
 """Stand-in for the platform: configuration service and VM list, read only.
 
 On the data port: `GET /manifest`, `GET /parts/SHA256`, `GET /vms`. Manifest and VM list
-have an `ETag`; with `If-None-Match` an unchanged one is answered 304, after up to
-N seconds with `Prefer: wait=N` (RFC 7240). Every call counts, a waiting one once.
+have an `ETag`. With `If-None-Match`, an unchanged one is answered with status 304; with
+`Prefer: wait=N` (RFC 7240) the answer waits up to N seconds for a change. Every call is
+counted once, also one that waits.
 
 On the control port: `PUT /control/tables` takes JSON `{"version", "routes": [TOML, …],
 "pools": [TOML, …]}`, one text for each part; `PUT /control/vms` takes the list as
-TOML; `POST /control` takes orders (`Platform.control`); `GET /records` counts calls.
+TOML; `POST /control` takes control orders (`Platform.control`); `GET /records` returns
+the number of calls and their times.
 """
 
 from __future__ import annotations
@@ -36,15 +38,15 @@
 
 TOML = "application/toml"
 LONGEST_WAIT_S = 60.0
-"""Seconds that a watch may wait at most."""
+"""Upper limit of `Prefer: wait=N`, in seconds."""
 
 
 @define(eq=False)
-class Value:
-    """Hold a value that can be read and watched, and be out of order."""
+class WatchedValue:
+    """Hold a value that callers read and watch, and simulate faults of its service."""
 
     newest: bytes = b"version = 0\n"
-    shown: bytes = b"version = 0\n"
+    served: bytes = b"version = 0\n"
     before: bytes = b"version = 0\n"
     down: bool = False
     stale: bool = False
@@ -52,31 +54,31 @@
 
     @property
     def etag(self) -> str:
-        """Return the entity tag of what is shown now."""
-        return f'"{hashlib.sha256(self.shown).hexdigest()[:16]}"'
+        """Return the entity tag of the version that is served now."""
+        return f'"{hashlib.sha256(self.served).hexdigest()[:16]}"'
 
     def put(self, raw: bytes) -> None:
-        """Take a newer value; it is shown unless the service is stale."""
+        """Store a newer version and serve it unless `stale` is set."""
         self.before, self.newest = self.newest, raw
         if not self.stale:
-            self._show(raw)
+            self._serve(raw)
 
     def control(self, order: dict[str, Any], prefix: str = "") -> None:
-        """Obey an order of the scenario."""
+        """Apply the fields of a control order whose names begin with `prefix`."""
         self.down = bool(order.get(f"{prefix}down", self.down))
         self.stale = bool(order.get(f"{prefix}stale", self.stale))
         if order.get(f"{prefix}old"):
             self.stale = True
-            self._show(self.before)
+            self._serve(self.before)
         elif not self.stale:
-            self._show(self.newest)
-        self._wake()
+            self._serve(self.newest)
+        self._notify_watchers()
 
-    def _show(self, raw: bytes) -> None:
-        self.shown = raw
-        self._wake()
+    def _serve(self, raw: bytes) -> None:
+        self.served = raw
+        self._notify_watchers()
 
-    def _wake(self) -> None:
+    def _notify_watchers(self) -> None:
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -91,11 +93,11 @@
     call_times: list[float] = field(factory=list)
     slow_s: float = 0.0
     _parts: dict[str, bytes] = field(factory=dict)
-    _manifest: Value = field(factory=Value)
-    _vms: Value = field(factory=Value)
+    _manifest: WatchedValue = field(factory=WatchedValue)
+    _vms: WatchedValue = field(factory=WatchedValue)
 
     async def run(self) -> None:
-        """Do nothing: the platform has no work beside its calls."""
+        """Do nothing: the platform has no background work."""
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the data port."""
@@ -113,7 +115,7 @@
         elif call.path == "/vms":
             await self._watch(self._vms, call, send)
         else:
-            await self._part(call.path.removeprefix("/parts/"), send)
+            await self._send_part(call.path.removeprefix("/parts/"), send)
 
     async def control_app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one call on the control port."""
@@ -127,7 +129,7 @@
         await respond_json(send, 200, self.report())
 
     def put_tables(self, order: dict[str, Any]) -> None:
-        """Show tables of a version; each text becomes one part."""
+        """Publish tables of a version; each text becomes one part."""
         rows: list[dict[str, Any]] = []
         for table in ("routes", "pools"):
             texts = order[table]
@@ -141,22 +143,22 @@
         self._manifest.put(tomli_w.dumps(manifest).encode())
 
     def control(self, order: dict[str, Any]) -> None:
-        """Obey an order of the scenario.
+        """Apply a control order of the scenario.
 
-        `down`: configuration can't be read; `stale`: what is shown stays as it is
-        until `stale` is false; `old`: the version before the newest is shown, and
-        stays, as by a replica that lags. The same with `vms_` for the VM list. `slow_s`
-        delays every answer.
+        `down`: reads of the manifest and its parts fail; `stale`: the version served
+        does not change until `stale` is false; `old`: the version before the newest is
+        served and stays, as by a lagging replica. The same names with the prefix `vms_`
+        apply to the VM list. `slow_s` delays every answer, in seconds.
         """
         self.slow_s = float(order.get("slow_s", self.slow_s))
         self._manifest.control(order)
         self._vms.control(order, "vms_")
 
     def report(self) -> dict[str, Any]:
-        """Return the calls counted by path, and when they came."""
+        """Return the number of calls by path and the time of each call."""
         return {"calls": dict(self.calls), "call_times": self.call_times}
 
-    async def _watch(self, value: Value, call: Call, send: Send) -> None:
+    async def _watch(self, value: WatchedValue, call: Call, send: Send) -> None:
         known = call.headers.get("if-none-match", "")
         wait_s = _preferred_wait(call.headers.get("prefer", ""))
         if known == value.etag and wait_s and not value.down:
@@ -168,9 +170,9 @@
         elif known == value.etag:
             await respond(send, 304, b"", headers)
         else:
-            await respond(send, 200, value.shown, headers, TOML)
+            await respond(send, 200, value.served, headers, TOML)
 
-    async def _part(self, digest: str, send: Send) -> None:
+    async def _send_part(self, digest: str, send: Send) -> None:
         raw = self._parts.get(digest)
         if self._manifest.down:
             await respond_json(send, 503, {"error": "the service is down"})
--- a/packages/fulmarroad-bench/tests/test_clients.py
+++ b/packages/fulmarroad-bench/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Tenants' own programs, curl and the OpenAI client, against a running fleet."""
+"""Test a running fleet with two common clients, curl and the OpenAI client."""
 
 import json
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.anyio
 class TestOpenAiClient:
-    async def test_plain_answer(self, local_fleet):
+    async def test_answer_without_streaming(self, local_fleet):
         async with client(local_fleet) as caller:
             answer = await caller.chat.completions.create(
                 model="draft-1", messages=MESSAGES, max_tokens=12
@@ -76,7 +76,7 @@
                 await anyio.sleep(0.1)
 
     async def running(self, local_fleet):
-        """Return the calls that engines still work on."""
+        """Return the engines' records of calls that have not ended."""
         return [
             record
             for report in await local_fleet.engine_reports()
@@ -84,13 +84,13 @@
             if record["end"] is None
         ]
 
-    async def test_wrong_key(self, local_fleet):
+    async def test_wrong_key_is_refused(self, local_fleet):
         async with client(local_fleet, api_key="wrong") as caller:
             with pytest.raises(openai.AuthenticationError) as refused:
                 await caller.chat.completions.create(model="draft-1", messages=MESSAGES)
         assert refused.value.response.headers["fulmarroad-ran"] == "not_run"
 
-    async def test_with_its_own_retries_on(self, local_fleet):
+    async def test_answer_with_client_retries_enabled(self, local_fleet):
         async with client(local_fleet, max_retries=2) as caller:
             answer = await caller.chat.completions.create(
                 model="draft-1", messages=MESSAGES, max_tokens=4
@@ -100,7 +100,7 @@
 
 @pytest.mark.anyio
 class TestCurl:
-    async def test_post_with_a_key_runs_once(self, local_fleet):
+    async def test_post_with_an_idempotency_key_runs_once(self, local_fleet):
         post = [
             "-H",
             "Idempotency-Key: letter-7",
@@ -114,13 +114,13 @@
         assert "idempotent-replayed: true" in second
         assert first.split("\n\n")[1] == second.split("\n\n")[1]
 
-    async def test_unknown_route(self, local_fleet):
+    async def test_unknown_route_is_not_found(self, local_fleet):
         answer = await curl(local_fleet, f"{address(local_fleet)}/nowhere")
         head, body = answer.split("\n\n")
         assert head.startswith("HTTP/1.1 404")
         assert json.loads(body)["error"]["ran"] == "not_run"
 
-    async def test_malformed_body(self, local_fleet):
+    async def test_malformed_body_is_a_bad_request(self, local_fleet):
         answer = await curl(
             local_fleet, "-d", "{", f"{address(local_fleet)}/v1/chat/completions"
         )
--- a/packages/fulmarroad-bench/tests/test_load.py
+++ b/packages/fulmarroad-bench/tests/test_load.py
@@ -1,4 +1,4 @@
-"""How callers judge what comes back."""
+"""Test how callers classify answers, repeat calls and choose routers."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 
 
 TOKENS = expected_answer("r1", 3).split(" ")
-RIGHT = stream_of(*(f"{token} " for token in TOKENS[:3]))
+CORRECT = stream_of(*(f"{token} " for token in TOKENS[:3]))
 SHORT = stream_of(f"{TOKENS[0]} ", f"{TOKENS[1]} ")
-OPEN = stream_of(f"{TOKENS[0]} ", end="")
+UNFINISHED = stream_of(f"{TOKENS[0]} ", end="")
 ERROR = stream_of(f"{TOKENS[0]} ", end='data: {"error": {"message": "broken"}}\n\n')
 
 
-class TestJudge:
+class TestClassifyCall:
     @pytest.mark.parametrize(
         ("got", "outcome"),
         [
-            (answer(body=RIGHT), "completed"),
+            (answer(body=CORRECT), "completed"),
             (answer(body=SHORT), "wrong"),
-            (answer(body=RIGHT, complete=False), "cut_off"),
-            (answer(body=OPEN, complete=False), "cut_off"),
+            (answer(body=CORRECT, complete=False), "cut_off"),
+            (answer(body=UNFINISHED, complete=False), "cut_off"),
             (answer(body=ERROR), "cut_off"),
             (answer(status=0, complete=False), "cut_off"),
             (answer(status=503, complete=False, ran="not_run"), "cut_off"),
@@ -59,30 +59,31 @@
             (answer(connected=False, status=0, complete=False), "unreachable"),
         ],
     )
-    def test_a_stream(self, got, outcome):
+    def test_outcome_of_a_stream(self, got, outcome):
         assert classify_call(CHAT, got).outcome == outcome
 
-    def test_an_answer_that_ends_early_as_if_whole_is_wrong(self):
+    def test_an_incomplete_answer_that_ends_normally_is_wrong(self):
         # A router loses its engine in the middle of an answer and ends the response
-        # cleanly; the caller takes half a letter for a whole one.
-        assert classify_call(CHAT, answer(body=OPEN)).outcome == "wrong"
+        # normally, so the caller takes a partial answer for a complete one.
+        assert classify_call(CHAT, answer(body=UNFINISHED)).outcome == "wrong"
 
-    def test_an_answer_of_another_request_is_wrong(self):
-        # Two answers are crossed; each is whole, and each reaches the wrong caller.
+    def test_the_answer_to_another_request_is_wrong(self):
+        # A router swaps the answers of two calls; both are complete.
         other = CallPlan("r2", "atlas", "key", tokens=3)
-        assert classify_call(other, answer(body=RIGHT)).outcome == "wrong"
+        assert classify_call(other, answer(body=CORRECT)).outcome == "wrong"
 
     @pytest.mark.parametrize(
         ("body", "outcome"),
         [(plain_answer("p1", PLAIN.body()), "completed"), (b"{}", "wrong")],
     )
-    def test_a_plain_call(self, body, outcome):
+    def test_outcome_of_a_plain_call(self, body, outcome):
         assert classify_call(PLAIN, answer(body=body)).outcome == outcome
 
-    def test_a_caller_that_leaves_has_right_text_so_far(self):
+    def test_the_text_before_a_planned_disconnect_is_checked(self):
         leaving = evolve(CHAT, disconnect_after_chunks=1)
         assert (
-            classify_call(leaving, answer(body=OPEN, complete=False)).outcome == "left"
+            classify_call(leaving, answer(body=UNFINISHED, complete=False)).outcome
+            == "left"
         )
         crossed = stream_of("0000 ", end="")
         assert (
@@ -92,7 +93,7 @@
 
 
 class TestCallPlan:
-    def test_a_repeat_differs_only_in_the_mark_of_the_first_attempt(self):
+    def test_a_repeat_differs_only_in_the_first_attempt_header(self):
         first = evolve(PLAIN, idempotency_key="k1", first_attempt=True)
         again = evolve(first, first_attempt=False)
         assert set(first.request().headers) - set(again.request().headers) == {
@@ -100,7 +101,7 @@
         }
         assert first.body() == again.body()
 
-    def test_the_request_is_framed_by_its_length(self):
+    def test_an_encoded_request_has_its_content_length(self):
         raw = Request("POST", "/x", (("a", "b"),), b"body").encode("h:1")
         assert raw.startswith(b"POST /x HTTP/1.1\r\nhost: h:1\r\na: b\r\n")
         assert b"content-length: 4\r\n" in raw
@@ -112,14 +113,14 @@
         addresses = {f"router-{n}": f"address-{n}" for n in range(6)}
         return Balancer(addresses, random.Random(1), **changes)
 
-    def test_a_workspace_is_seen_by_few_routers(self):
+    def test_spread_limits_the_routers_of_a_workspace(self):
         balancer = self.balancer(spread={"atlas": 2})
         first = {balancer.ranked_addresses("atlas")[0] for _ in range(50)}
         others = {balancer.ranked_addresses("cedar")[0] for _ in range(50)}
         assert len(first) == 2
         assert len(others) > 2
 
-    def test_a_router_that_is_not_ready_is_passed_over(self):
+    def test_a_router_that_is_not_ready_gets_no_calls(self):
         balancer = self.balancer(unready={"router-0"})
         for _ in range(20):
             order = balancer.ranked_addresses("atlas")
--- a/packages/fulmarroad-bench/tests/test_standins.py
+++ b/packages/fulmarroad-bench/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins' own definitions of answers, resume, cancel and watching."""
+"""Test the stand-ins: answers, resume, cancellation, late reports and watches."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Caller:
-    """Call an app without a network and keep what it sends."""
+    """Call an ASGI app directly and collect its response."""
 
     def __init__(self, app, method="GET", path="/", body=b"", headers=()):
         self._app = app
@@ -36,7 +36,7 @@
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
 
     async def call(self):
         await self._app(self._scope, self._receive, self._send)
@@ -55,11 +55,11 @@
             self.headers = dict(message["headers"])
             return
         self.body += message.get("body", b"")
-        self.whole = not message.get("more_body", False)
+        self.complete = not message.get("more_body", False)
 
 
 class Clock:
-    """Tell a time that only the test moves."""
+    """Return a time that only the test changes."""
 
     def __init__(self):
         self.now = 0.0
@@ -84,7 +84,7 @@
 
 
 async def drive(engine, clock, steps=200):
-    """Tick an engine by steps of 50 ms and let its handlers run between."""
+    """Advance an engine in steps of 50 ms and let its handlers run after each."""
     for _ in range(steps):
         clock.now += 0.05
         engine.tick(clock.now)
@@ -128,17 +128,17 @@
 
 @pytest.mark.anyio
 class TestEngineAnswers:
-    async def test_a_stream_gives_one_event_a_token(self, engine, clock):
+    async def test_a_stream_has_one_event_per_token(self, engine, clock):
         caller = await finish(engine, clock, caller_of(engine, chat("r1")))
         text, chunks = text_of(caller.body)
-        assert caller.whole
+        assert caller.complete
         assert text == expected_answer("r1", 12)
         assert len(chunks) == 13
         assert chunks[-1]["usage"]["completion_tokens"] == 12
         assert engine.records[0].state == "completed"
         assert engine.records[0].workspace == "atlas"
 
-    async def test_a_plain_answer_comes_whole(self, engine, clock):
+    async def test_an_answer_without_streaming_is_complete(self, engine, clock):
         body = chat("r1", stream=False)
         caller = await finish(engine, clock, caller_of(engine, body))
         answer = json.loads(caller.body)
@@ -147,12 +147,12 @@
         assert answer["usage"]["completion_tokens"] == 12
 
     @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"{}"])
-    async def test_a_malformed_body_is_an_error_of_an_openai_kind(self, engine, body):
+    async def test_a_malformed_body_gets_an_openai_error(self, engine, body):
         caller = await caller_of(engine, body).call()
         assert caller.status == 400
         assert json.loads(caller.body)["error"]["type"] == "invalid_request_error"
 
-    async def test_a_refusing_engine_runs_nothing(self, engine):
+    async def test_a_refusing_engine_generates_nothing(self, engine):
         await engine.control({"refuse": True})
         caller = await caller_of(engine, chat("r1")).call()
         assert caller.status == 503
@@ -163,7 +163,9 @@
 @pytest.mark.anyio
 class TestResume:
     @pytest.mark.parametrize("position", [0, 5, 12])
-    async def test_the_rest_follows_from_the_position_on(self, engine, clock, position):
+    async def test_a_resumed_answer_starts_at_the_position(
+        self, engine, clock, position
+    ):
         headers = (("x-resume-id", "r1"), ("x-resume-from", str(position)))
         caller = await finish(engine, clock, caller_of(engine, chat("r1"), headers))
         text, chunks = text_of(caller.body)
@@ -171,27 +173,27 @@
         assert chunks[-1]["usage"]["completion_tokens"] == 12
         assert engine.records[0].tokens == 12 - position
 
-    async def test_a_position_past_the_end_is_refused(self, engine):
+    async def test_a_position_beyond_the_end_is_refused(self, engine):
         headers = (("x-resume-id", "r1"), ("x-resume-from", "13"))
         caller = await caller_of(engine, chat("r1"), headers).call()
         assert caller.status == 400
 
-    async def test_an_answer_told_to_break_never_ends_whole(self, engine, clock):
-        # The engine's process dies in the middle of an answer; its caller has some
-        # tokens and a connection that closes without an end.
+    async def test_an_answer_ordered_to_break_is_incomplete(self, engine, clock):
+        # The engine's process dies in the middle of an answer. The caller gets some
+        # tokens, and the connection closes without the end of the stream.
         await engine.control({"break_streams": 1, "after_tokens": 4})
         caller = caller_of(engine, chat("r1"))
         with pytest.raises(BaseExceptionGroup) as caught:
             await finish(engine, clock, caller)
         assert caught.group_contains(AbortConnectionError)
-        assert not caller.whole
+        assert not caller.complete
         assert caller.body.count(b"data:") == 4
         assert engine.records[0].state == "broken"
 
 
 @pytest.mark.anyio
 class TestCancel:
-    async def test_a_caller_that_leaves_frees_the_slot(self, engine, clock):
+    async def test_a_disconnect_frees_the_slot(self, engine, clock):
         caller = caller_of(engine, chat("r1", tokens=1000))
         async with anyio.create_task_group() as group:
             group.start_soon(caller.call)
@@ -206,9 +208,9 @@
 
 @pytest.mark.anyio
 class TestColdEngine:
-    async def test_too_many_at_once_break_every_answer(self, clock):
-        # A router sends a full load to an engine that has just started; the callers'
-        # answers break off and the engine answers 503 until it has restarted.
+    async def test_overloading_a_cold_engine_breaks_every_answer(self, clock):
+        # A router sends a full load to an engine that has just started. All answers
+        # fail, and the engine responds with 503 until it has restarted.
         engine = Engine("e1", EngineProfile(), clock)
         callers = [caller_of(engine, chat(f"r{n}")) for n in range(3)]
         async with anyio.create_task_group() as group:
@@ -223,7 +225,7 @@
 
 @pytest.mark.anyio
 class TestLateReports:
-    async def test_load_and_cache_events_come_late(self, engine, clock):
+    async def test_load_and_cache_events_are_delayed(self, engine, clock):
         words = "word " * 200
         body = json.loads(chat("r1", tokens=100))
         body["messages"][0]["content"] = words
@@ -243,7 +245,7 @@
 
 @pytest.mark.anyio
 class TestPlainService:
-    async def test_every_call_is_recorded_and_answered_from_its_id(self, clock):
+    async def test_a_call_is_recorded_and_its_answer_derived_from_its_id(self, clock):
         service = PlainService("l1", 0.0, clock)
         headers = (("x-bench-id", "c1"), ("idempotency-key", "k1"))
         caller = await Caller(service.app, "PUT", "/post", b"{}", headers).call()
@@ -252,7 +254,7 @@
             ("c1", "k1", "completed")
         ]
 
-    async def test_a_call_that_hangs_is_recorded_first(self, clock):
+    async def test_a_hanging_call_is_recorded(self, clock):
         service = PlainService("l1", 0.0, clock)
         await service.control({"hang": True})
         caller = Caller(service.app, "POST", "/post", b"{}", (("x-bench-id", "c1"),))
@@ -261,14 +263,14 @@
         assert service.records[0].state == "hung"
         assert caller.status == 0
 
-    async def test_an_answer_can_break_off(self, clock):
+    async def test_an_answer_breaks_off_after_the_ordered_bytes(self, clock):
         service = PlainService("l1", 0.0, clock)
         await service.control({"break_calls": 1, "after_bytes": 7})
         caller = Caller(service.app, "POST", "/post", b"{}", (("x-bench-id", "c1"),))
         with pytest.raises(AbortConnectionError):
             await caller.call()
         assert len(caller.body) == 7
-        assert not caller.whole
+        assert not caller.complete
 
 
 @pytest.mark.anyio
@@ -279,7 +281,7 @@
         platform.put_tables({"version": 3, "routes": "a = 1", "pools": "b = 2"})
         return platform
 
-    async def test_a_manifest_names_its_parts(self, platform):
+    async def test_a_manifest_lists_its_parts(self, platform):
         caller = await Caller(platform.app, path="/manifest").call()
         manifest = tomllib.loads(caller.body.decode())
         assert manifest["version"] == 3
@@ -288,7 +290,7 @@
         assert part.body == b"b = 2"
         assert manifest["part"][1]["bytes"] == 5
 
-    async def test_an_unchanged_one_is_not_sent_again(self, platform):
+    async def test_an_unchanged_manifest_is_not_sent_again(self, platform):
         first = await Caller(platform.app, path="/manifest").call()
         known = (("if-none-match", first.headers[b"etag"].decode()),)
         again = await Caller(platform.app, path="/manifest", headers=known).call()
@@ -296,7 +298,7 @@
         assert again.body == b""
         assert platform.calls["manifest"] == 2
 
-    async def test_a_watch_ends_with_a_change(self, platform):
+    async def test_a_watch_returns_when_the_manifest_changes(self, platform):
         first = await Caller(platform.app, path="/manifest").call()
         known = first.headers[b"etag"].decode()
         headers = (("if-none-match", known), ("prefer", "wait=50"))
@@ -309,7 +311,7 @@
         assert watch.status == 200
         assert b"version = 4" in watch.body
 
-    async def test_while_stale_the_old_version_stays_in_view(self, platform):
+    async def test_a_stale_service_keeps_serving_the_old_version(self, platform):
         platform.control({"stale": True})
         platform.put_tables({"version": 4, "routes": "a = 1", "pools": "b = 3"})
         seen = await Caller(platform.app, path="/manifest").call()
@@ -318,7 +320,7 @@
         seen = await Caller(platform.app, path="/manifest").call()
         assert b"version = 4" in seen.body
 
-    async def test_while_down_it_answers_nothing_useful(self, platform):
+    async def test_a_service_that_is_down_responds_with_503(self, platform):
         platform.control({"down": True})
         answers = [
             (await Caller(platform.app, path=path).call()).status
@@ -329,9 +331,9 @@
         seen = await Caller(platform.app, path="/vms").call()
         assert seen.status == 503
 
-    async def test_an_old_version_can_come_back_into_view(self, platform):
-        # A replica of the service that lags answers; a router that trusts it would
-        # put an older table in force again.
+    async def test_a_lagging_replica_serves_an_older_version(self, platform):
+        # A lagging replica of the service answers. A router that trusts it would
+        # replace its tables with an older version.
         platform.put_tables({"version": 4, "routes": "a = 1", "pools": "b = 3"})
         platform.control({"old": True})
         seen = await Caller(platform.app, path="/manifest").call()
