--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_day.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_day.py
@@ -1,4 +1,4 @@
-"""What a day of the lab brought, and its figures."""
+"""Hold the results of a simulated day and compute its figures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class CallOutcome:
-    """Hold how one call ended for its caller."""
+    """Record how one call ended for its caller."""
 
     call: SimulatedCall
     ended: str  # on time, late or refused
@@ -22,18 +22,21 @@
 
 @frozen
 class SimulatedDay:
-    """Hold what one day brought with one policy."""
+    """Hold the results of one day with one policy."""
 
     policy: str
     seed: int
     outcomes: tuple[CallOutcome, ...]
-    samples: tuple[tuple[float, int, float], ...]  # time, calls waiting, memory used
+    samples: tuple[tuple[float, int, float], ...]  # seconds, calls waiting, memory used
     read_tokens: int
     reread_tokens: int
 
 
 def worth(workload: Workload, outcomes: Sequence[CallOutcome]) -> float:
-    """Return the part of all worth that callers got."""
+    """Return the worth of answered calls as a fraction of the worth of all calls.
+
+    A late call counts with its class's `late_worth`, a refused one with 0.
+    """
     kinds = {row.name: row for row in workload.classes}
     got = sum(
         kinds[row.call.kind].worth
@@ -42,12 +45,12 @@
         for row in outcomes
         if row.ended != "refused"
     )
-    owed = sum(kinds[row.call.kind].worth for row in outcomes)
-    return got / owed if owed else 0.0
+    possible = sum(kinds[row.call.kind].worth for row in outcomes)
+    return got / possible if possible else 0.0
 
 
 def summary(workload: Workload, day: SimulatedDay) -> dict[str, Any]:
-    """Return the figures of a day."""
+    """Return the figures of a day, as the report shows them."""
     ended = [row.ended for row in day.outcomes]
     by_class = {
         kind.name: round(
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
@@ -1,4 +1,4 @@
-"""A router's processor in virtual time: what calls and looks take of it."""
+"""Simulate a router's processor in virtual time: the cost of calls and placements."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from fulmarroad_serving._saturation import SaturationGuard
 
 READ_COST_S = 0.0005
-"""Reading a call, and refusing it if need be, on a whole core."""
+"""Seconds of one core to read a call, including a refusal."""
 
 PLACEMENT_COST_S = 0.0002
-"""One look for a place."""
+"""Seconds of one core for one attempt to place a call."""
 
 FORWARD_COST_S = 0.003
-"""Sending a call and handing its answer on."""
+"""Seconds of one core to send a call and forward its answer."""
 
-TURNS = 10
-"""Turns of the loop in which a call is read, placed and sent: so much shorter than the
-work that waits is the delay of one turn."""
+TURNS_PER_CALL = 10
+"""Event loop turns in which a call is read, placed and sent. One turn is delayed by the
+backlog divided by this number."""
 
 
 @define
 class Processor:
-    """Do one router's work in the order in which it comes."""
+    """Run one router's work in order of arrival."""
 
     cores: float
     _free_at: float = 0.0
@@ -37,7 +37,7 @@
         self.guard = SaturationGuard(self._lateness, random.Random(1))
 
     def work(self, seconds: float, now: float) -> float:
-        """Add work for one core; return when it is done."""
+        """Add seconds of work for one core; return the time at which it is done."""
         self._sample(now)
         self._free_at = max(self._free_at, now) + seconds / self.cores
         return self._free_at
@@ -45,6 +45,6 @@
     def _sample(self, now: float) -> None:
         while self._sampled_at + SAMPLE_S <= now:
             self._sampled_at += SAMPLE_S
-            waits_s = max(0.0, self._free_at - self._sampled_at)
-            self._lateness.note(waits_s / TURNS)
+            backlog_s = max(0.0, self._free_at - self._sampled_at)
+            self._lateness.note(backlog_s / TURNS_PER_CALL)
             self.guard.adapt(self._sampled_at)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_report.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_report.py
@@ -1,4 +1,4 @@
-"""Write the lab's days as a page with plots that a browser opens."""
+"""Write the results of simulated days as an HTML page with plots."""
 
 from __future__ import annotations
 
@@ -32,22 +32,24 @@
     days: Sequence[SimulatedDay],
     rows: Sequence[Mapping[str, Any]],
 ) -> Path:
-    """Write the page and return its path."""
+    """Write `report.html` to a directory and return its path."""
     directory.mkdir(parents=True, exist_ok=True)
-    body = _table(rows, (*COLUMNS, "read_again_part"))
+    body = _table_html(rows, (*COLUMNS, "read_again_part"))
     first = [day for day in days if day.seed == days[0].seed]
-    body += _image(_by_second(workload, first)) + _image(_by_engine(first))
+    body += _image_html(_plot_worth(workload, first)) + _image_html(
+        _plot_engines(first)
+    )
     for part in ("by_class", "by_workspace"):
         names = sorted({name for row in rows for name in row[part]})
         flat = [{"policy": row["policy"], **row[part]} for row in rows]
         body += f"<h2>Worth {part.replace('_', ' ')}</h2>"
-        body += _table(flat, ("policy", *names))
+        body += _table_html(flat, ("policy", *names))
     path = directory / "report.html"
     path.write_text(FRAME.format(body=body))
     return path
 
 
-def _table(rows: Sequence[Mapping[str, Any]], columns: Sequence[str]) -> str:
+def _table_html(rows: Sequence[Mapping[str, Any]], columns: Sequence[str]) -> str:
     head = "".join(f"<th>{html.escape(name)}</th>" for name in columns)
     lines = [
         "".join(f"<td>{html.escape(str(row.get(name, '')))}</td>" for name in columns)
@@ -57,7 +59,7 @@
     return f"<table><tr>{head}</tr>{body}</table>"
 
 
-def _by_second(workload: Workload, days: Sequence[SimulatedDay]) -> Figure:
+def _plot_worth(workload: Workload, days: Sequence[SimulatedDay]) -> Figure:
     figure, axes = plt.subplots(figsize=(9, 4))
     for day in days:
         windows = defaultdict(list)
@@ -72,7 +74,7 @@
     return figure
 
 
-def _by_engine(days: Sequence[SimulatedDay]) -> Figure:
+def _plot_engines(days: Sequence[SimulatedDay]) -> Figure:
     figure, (queue, memory) = plt.subplots(1, 2, figsize=(9, 3.5))
     for day in days:
         times = [row[0] for row in day.samples]
@@ -84,7 +86,7 @@
     return figure
 
 
-def _image(figure: Figure) -> str:
+def _image_html(figure: Figure) -> str:
     data = io.BytesIO()
     figure.tight_layout()
     figure.savefig(data, format="png", dpi=100)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_traffic.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_traffic.py
@@ -1,4 +1,4 @@
-"""Calls of a deployment's sheet, with workspaces of unequal size and sudden loads."""
+"""Generate calls as a data sheet states them, with unequal workspaces and surges."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class CallClass:
-    """Describe one kind of call, as a sheet states it."""
+    """Describe one class of calls, as a deployment's data sheet states it."""
 
     name: str
     per_s: float
@@ -28,12 +28,12 @@
 
 @frozen
 class Surge:
-    """Multiply the calls of one workspace, or of all, for a while."""
+    """Multiply the call rate of one workspace, or of all, for some seconds."""
 
     at_s: float
-    for_s: float
-    times: float
-    workspace: int | None = None  # its number; nothing: of all
+    duration_s: float
+    factor: float
+    workspace: int | None = None  # its index; None: all workspaces
 
 
 @frozen
@@ -42,7 +42,7 @@
 
     classes: tuple[CallClass, ...]
     workspaces: int = 16
-    skew: float = 0.8  # of workspaces' sizes, as an exponent of their number
+    skew: float = 0.8  # workspace n has size 1 / (n + 1) ** skew
     part_skew: float = 0.3
     surges: tuple[Surge, ...] = ()
     seconds: float = 40.0
@@ -56,25 +56,25 @@
     ),
     surges=(Surge(4.0, 8.0, 5.0, 2), Surge(10.0, 10.0, 5.0, 5), Surge(24.0, 6.0, 1.8)),
 )
-"""Reminder letters as their sheet states them, on an ordinary overloaded day."""
+"""Reminder letters as their data sheet states them, on a typical overloaded day."""
 
 
 def arrivals(workload: Workload, seed: int) -> Iterator[SimulatedCall]:
-    """Yield calls in the order of their arrival."""
+    """Yield the calls of a workload in order of arrival."""
     source = random.Random(seed)
     sizes = [
         1.0 / (number + 1) ** workload.skew for number in range(workload.workspaces)
     ]
-    most = math.prod(max(1.0, row.times) for row in workload.surges)
+    peak_factor = math.prod(max(1.0, row.factor) for row in workload.surges)
     rate = sum(row.per_s for row in workload.classes)
     now, number = 0.0, 0
     while True:
-        # Thinning: draw at the highest rate and drop what the moment does not have.
-        now += source.expovariate(rate * most)
+        # Thinning: draw arrivals at the highest rate and drop the surplus.
+        now += source.expovariate(rate * peak_factor)
         if now >= workload.seconds:
             return
         workspace = source.choices(range(workload.workspaces), sizes)[0]
-        if source.random() >= _times(workload, workspace, now) / most:
+        if source.random() >= _surge_factor(workload, workspace, now) / peak_factor:
             continue
         kind = source.choices(
             workload.classes, [row.per_s for row in workload.classes]
@@ -93,12 +93,12 @@
         )
 
 
-def _times(workload: Workload, workspace: int, now: float) -> float:
-    times = 1.0
+def _surge_factor(workload: Workload, workspace: int, now: float) -> float:
+    factor = 1.0
     for row in workload.surges:
-        if row.at_s <= now < row.at_s + row.for_s and row.workspace in (
+        if row.at_s <= now < row.at_s + row.duration_s and row.workspace in (
             None,
             workspace,
         ):
-            times *= row.times
-    return times
+            factor *= row.factor
+    return factor
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
@@ -1,11 +1,12 @@
-"""Compare policies in virtual time: the routers' own decisions before model engines.
+"""Compare placement policies in virtual time, with simulated engines.
 
-    make lab                                   # every placement on one day, as a report
+    make lab                                   # one day per policy, as a report
     python -m fulmarroad_bench.lab --seeds 3   # three days each
 
-The decisions are those of `fulmarroad_serving`, the engines a model, and the traffic
-that of a sheet, so a day of thousands of calls takes seconds. The model is simpler than
-an engine: it tells which policy is better, not how good one is.
+The routers' decisions are made by the code of `fulmarroad_serving`; engines and traffic
+are simulated from a deployment's data sheet, so a day of thousands of calls takes
+seconds. The simulated engine is simpler than a real one: results show which policy is
+better, not the figures that a real deployment reaches.
 """
 
 from __future__ import annotations
@@ -53,28 +54,28 @@
 from fulmarroad_serving._shares import WorkspaceCount
 
 REPORT_S = 0.15
-"""Time between two exchanges of reports, as between routers."""
+"""Seconds between two exchanges of reports between routers."""
 
-WAY_S = 0.0015
-"""One way between a router and an engine."""
+NETWORK_DELAY_S = 0.0015
+"""Seconds that a message takes from a router to an engine or back."""
 
 MAX_RETRIES = 1
-"""Times that a caller comes back after a refusal."""
+"""Number of times that a caller retries after a refusal."""
 
 THROUGHPUT = 455_000.0
-"""Units of service a second that operators state for five engines."""
+"""Units of service per second that operators configure for five engines."""
 
 SERVICE = "drafting"
-SETTLED_S = -60.0
-"""Time at which engines started: long before the day."""
+ENGINES_STARTED_AT_S = -60.0
+"""Start time of the engines, in seconds: well before the first call at 0."""
 
 
 PickRouter = Callable[[SimulatedCall, int], int]
-"""Return the number of the router that a call comes to, of so many."""
+"""Return the index of the router for a call, given the number of routers."""
 
 
 def pick_round_robin(call: SimulatedCall, routers: int) -> int:
-    """Let calls come to all routers in turn, and return to another one."""
+    """Send calls to the routers in turn, and each retry to a different router."""
     return (call.number + 3 * call.retries) % routers
 
 
@@ -82,20 +83,20 @@
 class _Router:
     dispatcher: Dispatcher
     held: HeldCalls = field(factory=HeldCalls)
-    processor: Processor | None = None  # nothing: work takes no time
+    processor: Processor | None = None  # None: work takes no time
 
     def work(self, seconds: float, now: float) -> float:
-        """Do some work for one core; return when it is done."""
+        """Add seconds of work for one core; return the time at which it is done."""
         return self.processor.work(seconds, now) if self.processor else now
 
     def is_busy(self, kind: CallKind) -> bool:
-        """Tell whether a call is one too many for the processor."""
+        """Return whether the overload guard rejects a call of this kind."""
         return self.processor is not None and self.processor.guard.should_shed(kind)
 
 
 @define
-class _Waiting:
-    """Hold a call that looks for a place at a router."""
+class _PendingCall:
+    """Hold a call that waits at a router for an engine with capacity."""
 
     call: SimulatedCall
     demand: Demand
@@ -104,8 +105,8 @@
 
 
 @frozen
-class _Told:
-    """Hold what one router tells the others."""
+class _RouterReport:
+    """Hold what one router reports to the others."""
 
     sender: _Router
     loads: Mapping[ServerName, PeerLoad]
@@ -114,18 +115,18 @@
 
 
 @define
-class _Run:
-    """Drive one day."""
+class _Simulation:
+    """Simulate one day as a queue of timed events."""
 
     workload: Workload
     policy: str
     seed: int
     pick_router: PickRouter = pick_round_robin
-    report_delay_s: float = 0.0  # on their way between routers
+    report_delay_s: float = 0.0  # between routers
     routers: list[_Router] = field(factory=list)
     engines: dict[str, SimulatedEngine] = field(factory=dict)
     tickets: dict[int, tuple[_Router, Ticket]] = field(factory=dict)
-    stepping: set[str] = field(factory=set)
+    stepping_engines: set[str] = field(factory=set)
     known: set[str] = field(factory=set)
     outcomes: list[CallOutcome] = field(factory=list)
     samples: list[tuple[float, int, float]] = field(factory=list)
@@ -133,21 +134,21 @@
     _heap: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _number: itertools.count[int] = field(factory=itertools.count)
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._heap, (when, next(self._number), act))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._heap, (when, next(self._number), action))
 
     def simulate(self) -> None:
         for call in arrivals(self.workload, self.seed):
             self.at(call.arrived, lambda call=call: self.arrive(call))  # type: ignore[misc]
         self.at(0.0, self.exchange)
         while self._heap:
-            self.now, _, act = heapq.heappop(self._heap)
-            act()
+            self.now, _, action = heapq.heappop(self._heap)
+            action()
 
     def exchange(self) -> None:
-        """Let every router tell every other, as their reports do."""
-        told = [
-            _Told(
+        """Send every router's report to all others and record a sample."""
+        reports = [
+            _RouterReport(
                 sender,
                 sender.dispatcher.own_load(),
                 sender.dispatcher.shares.own_counts(self.now),
@@ -157,9 +158,12 @@
         ]
         written_at = self.now
         if self.report_delay_s:
-            self.at(self.now + self.report_delay_s, lambda: self.hear(told, written_at))
+            self.at(
+                self.now + self.report_delay_s,
+                lambda: self.receive_reports(reports, written_at),
+            )
         else:
-            self.hear(told, written_at)
+            self.receive_reports(reports, written_at)
         waiting = sum(len(row.waiting) for row in self.engines.values())
         used = sum(
             row.memory_used / row.shape.memory_tokens for row in self.engines.values()
@@ -168,9 +172,11 @@
         if self.now < self.workload.seconds + 10.0:
             self.at(self.now + REPORT_S, self.exchange)
 
-    def hear(self, told: Sequence[_Told], written_at: float) -> None:
-        """Let every router take in what the others told at a time."""
-        for number, row in enumerate(told):
+    def receive_reports(
+        self, reports: Sequence[_RouterReport], written_at: float
+    ) -> None:
+        """Apply every router's report of the time `written_at` to all other routers."""
+        for number, row in enumerate(reports):
             name = f"r{number}"
             for other in self.routers:
                 if other is row.sender:
@@ -189,7 +195,7 @@
         self.at(read_at, lambda: self.decide(call, router))
 
     def decide(self, call: SimulatedCall, router: _Router) -> None:
-        """Take a call on, or turn it away."""
+        """Refuse a call or try to place it."""
         demand = Demand(
             f"c{call.number}",
             SERVICE,
@@ -199,7 +205,7 @@
             call.shared_tokens,
             call.own_tokens,
             call.output_tokens,
-            _draw(call),
+            _hash_fraction(call),
         )
         router.dispatcher.note_asked(demand, self.now)
         refusal = router.dispatcher.reject_early(demand, self.now)
@@ -210,10 +216,10 @@
             assert router.processor is not None
             self.refuse(call, router.processor.guard.retry_after_s())
             return
-        self.look(_Waiting(call, demand, router, self.now))
+        self.try_to_place(_PendingCall(call, demand, router, self.now))
 
-    def look(self, waiting: _Waiting) -> None:
-        """Look for a place, and again while the call may be held."""
+    def try_to_place(self, waiting: _PendingCall) -> None:
+        """Place a call on an engine; otherwise hold it and retry, or refuse it."""
         router, objective_s = waiting.router, waiting.demand.objective_s
         held_s = self.now - waiting.since
         demand = evolve(waiting.demand, objective_s=max(0.0, objective_s - held_s))
@@ -228,20 +234,20 @@
             self.refuse(waiting.call, placed.retry_after_s)
             return
         due = max(self.now + pause_s, router.work(PLACEMENT_COST_S, self.now))
-        self.at(due, lambda: self.look_again(waiting))
+        self.at(due, lambda: self.retry_placement(waiting))
 
-    def look_again(self, waiting: _Waiting) -> None:
+    def retry_placement(self, waiting: _PendingCall) -> None:
         waiting.router.held.count -= 1
-        self.look(waiting)
+        self.try_to_place(waiting)
 
-    def send(self, waiting: _Waiting, placed: Placement) -> None:
+    def send(self, waiting: _PendingCall, placed: Placement) -> None:
         call, router = waiting.call, waiting.router
         ticket = router.dispatcher.send(waiting.demand, placed, self.now)
         self.tickets[call.number] = (router, ticket)
         server = placed.choice.server
         self.at(
-            router.work(FORWARD_COST_S, self.now) + WAY_S,
-            lambda: self.reach(call, server),
+            router.work(FORWARD_COST_S, self.now) + NETWORK_DELAY_S,
+            lambda: self.reach_engine(call, server),
         )
 
     def refuse(self, call: SimulatedCall, retry_after_s: float) -> None:
@@ -251,26 +257,26 @@
         call.retries += 1
         self.at(self.now + retry_after_s, lambda: self.arrive(call))
 
-    def reach(self, call: SimulatedCall, server: str) -> None:
+    def reach_engine(self, call: SimulatedCall, server: str) -> None:
         if not self.engines[server].admit(call):
             router, ticket = self.tickets.pop(call.number)
             router.dispatcher.end(ticket, SendOutcome.NOT_RUN, self.now)
             self.refuse(call, 0.5)
-        elif server not in self.stepping:
-            self.stepping.add(server)
+        elif server not in self.stepping_engines:
+            self.stepping_engines.add(server)
             self.step(server)
 
     def step(self, server: str) -> None:
         engine = self.engines[server]
         if not engine.busy:
-            self.stepping.discard(server)
+            self.stepping_engines.discard(server)
             return
         result = engine.step(self.known)
         end = self.now + result.seconds
         for call in result.begun:
-            self.at(end + WAY_S, lambda call=call: self.begin(call))  # type: ignore[misc]
+            self.at(end + NETWORK_DELAY_S, lambda call=call: self.begin(call))  # type: ignore[misc]
         for call in result.done:
-            self.at(end + WAY_S, lambda call=call: self.finish(call))  # type: ignore[misc]
+            self.at(end + NETWORK_DELAY_S, lambda call=call: self.finish(call))  # type: ignore[misc]
         self.at(end, lambda: self.step(server))
 
     def begin(self, call: SimulatedCall) -> None:
@@ -285,7 +291,7 @@
         router.dispatcher.end(ticket, None, self.now)
 
 
-def _draw(call: SimulatedCall) -> float:
+def _hash_fraction(call: SimulatedCall) -> float:
     number = call.number.to_bytes(8, "big")
     return hash_fraction_of(fingerprint_of(call.workspace, "", "", number, b""))
 
@@ -302,12 +308,12 @@
     report_delay_s: float = 0.0,
     cores: Sequence[float] = (),
 ) -> SimulatedDay:
-    """Play one day with one policy.
+    """Simulate one day with one policy.
 
-    News between routers take `report_delay_s` seconds. `cores` are those of the
-    routers' processors; without them the routers' work takes no time.
+    Reports between routers take `report_delay_s` seconds. `cores` lists the processor
+    cores of each router; if empty, the routers' work takes no time.
     """
-    run = _Run(workload, policy, seed, pick_router, report_delay_s)
+    run = _Simulation(workload, policy, seed, pick_router, report_delay_s)
     service = Service(SERVICE, engine=Profile(128))
     catalog = Catalog(
         1,
@@ -323,7 +329,7 @@
         for name in names:
             slots = run.engines[name].shape.slots
             instance = Instance(name, SERVICE, "10.0.0.1", 1, "fes", slots)
-            dispatcher.registry.put(instance, SETTLED_S)
+            dispatcher.registry.put(instance, ENGINES_STARTED_AT_S)
         processor = Processor(cores[number]) if cores else None
         run.routers.append(_Router(dispatcher, processor=processor))
     run.simulate()
@@ -342,7 +348,7 @@
     policies: str = ",".join(PLACEMENTS),
     directory: str = "bench/results/lab",
 ) -> None:
-    """Play every policy on the same days; write a report that a browser opens."""
+    """Simulate every policy on the same days and write an HTML report."""
     rows, days = [], []
     for policy in policies.split(",") if isinstance(policies, str) else policies:
         for seed in range(1, seeds + 1):
--- a/packages/fulmarroad-bench/tests/test_lab.py
+++ b/packages/fulmarroad-bench/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The policy lab: its engine, its traffic, and what it tells of placements."""
+"""Test the policy lab: simulated engine, traffic and placement policies."""
 
 import json
 import random
@@ -19,7 +19,7 @@
 
 SHORT = evolve(
     REMINDERS,
-    # So few parts that they are all read before the surge.
+    # Few enough parts that all of them are read before the surge.
     classes=tuple(evolve(row, parts=12) for row in REMINDERS.classes),
     seconds=8.0,
     surges=(Surge(2.0, 4.0, 5.0, 2),),
@@ -31,7 +31,7 @@
     return SimulatedCall(number, "letter", "w", part, shared, own, output, 0.0)
 
 
-def run_out(engine, known):
+def run_until_idle(engine, known):
     results = []
     while engine.busy:
         results.append(engine.step(known))
@@ -39,12 +39,12 @@
 
 
 class TestEngine:
-    def test_a_part_is_read_once(self):
+    def test_an_engine_reads_a_part_once(self):
         engine, known = SimulatedEngine(SHAPE), set()
         engine.admit(call(1))
-        first = run_out(engine, known)
+        first = run_until_idle(engine, known)
         engine.admit(call(2))
-        second = run_out(engine, known)
+        second = run_until_idle(engine, known)
         assert engine.read_tokens == 11_000
         assert engine.reread_tokens == 0
         begun = [
@@ -53,25 +53,25 @@
         ]
         assert begun == [9, 0]
 
-    def test_another_engine_reads_it_again(self):
+    def test_a_second_engine_reads_the_part_again(self):
         known = set()
         for number in (1, 2):
             engine = SimulatedEngine(SHAPE)
             engine.admit(call(number))
-            run_out(engine, known)
+            run_until_idle(engine, known)
         assert engine.reread_tokens == 9_000
 
-    def test_parts_go_when_memory_is_short(self):
+    def test_parts_are_evicted_when_memory_is_full(self):
         engine, known = SimulatedEngine(SHAPE), set()
         for number in range(4):
             engine.admit(call(number, part=f"p{number}"))
-            run_out(engine, known)
+            run_until_idle(engine, known)
         assert engine.memory_used <= SHAPE.memory_tokens
         engine.admit(call(9, part="p0"))
-        run_out(engine, known)
+        run_until_idle(engine, known)
         assert engine.reread_tokens == 9_000
 
-    def test_a_full_engine_turns_calls_away(self):
+    def test_a_full_engine_refuses_calls(self):
         engine = SimulatedEngine(SHAPE)
         assert [engine.admit(call(number)) for number in range(4)] == [
             True,
@@ -80,7 +80,7 @@
             False,
         ]
 
-    def test_a_long_prompt_delays_the_answers_beside_it(self):
+    def test_a_long_prompt_delays_concurrent_answers(self):
         engine, known = SimulatedEngine(SHAPE), set()
         engine.admit(call(1, part="", own=1, output=50))
         engine.step(known)
@@ -95,7 +95,7 @@
         assert rows[0] == rows[1]
         assert rows[0] != [(row.arrived, row.part) for row in arrivals(SHORT, 4)]
 
-    def test_a_surge_multiplies_one_workspaces_calls(self):
+    def test_a_surge_multiplies_the_calls_of_one_workspace(self):
         rows = [row for row in arrivals(SHORT, 1) if row.workspace == "w02"]
         inside = [row for row in rows if 2.0 <= row.arrived < 6.0]
         outside = len(rows) - len(inside)
@@ -109,27 +109,27 @@
 
 
 class TestPlacements:
-    def test_every_call_ends_once(self, days):
+    def test_every_call_has_one_outcome(self, days):
         calls = len(list(arrivals(SHORT, 1)))
         for day in days.values():
             numbers = [row.call.number for row in day.outcomes]
             assert len(numbers) == len(set(numbers)) == calls
 
-    def test_a_day_repeats(self, days):
+    def test_a_simulation_is_deterministic(self, days):
         again = lab.simulate(SHORT, "cached", 1)
         assert lab.summary(SHORT, again) == lab.summary(SHORT, days["cached"])
 
-    def test_counting_on_cached_parts_pays(self, days):
-        """Prompts share long parts. Spread by load alone, every engine reads every part
-        again, and callers wait for work that was done already.
+    def test_cache_aware_placement_beats_placement_by_load(self, days):
+        """Prompts share long parts. A placement by load alone makes every engine read
+        every part again, and callers wait for it.
         """
         cached = lab.summary(SHORT, days["cached"])
         spread = lab.summary(SHORT, days["least_loaded"])
         assert cached["worth"] > spread["worth"] + 0.1
         assert cached["read_again_part"] < spread["read_again_part"] / 2
 
-    def test_a_small_workspace_is_not_crowded_out(self, days):
-        """One workspace asks five times its usual. The others must not pay for it."""
+    def test_small_workspaces_are_not_starved_by_a_surge(self, days):
+        """One workspace sends five times its usual calls; small ones must do better."""
         rows = lab.summary(SHORT, days["cached"])["by_workspace"]
         small = [rows[f"w{number:02d}"] for number in range(8, 16)]
         assert sum(small) / len(small) > rows["w02"]
@@ -148,7 +148,7 @@
 
 
 def with_hot_part(workload, seed):
-    """Let a third of the letters ask for one part, as on the day of a new template."""
+    """Let a third of the letters share one part, as on the day of a new template."""
     source = random.Random(seed)
     for row in arrivals(workload, seed):
         if row.kind == "dossier-letter" and source.random() < 0.35:
@@ -156,18 +156,19 @@
         yield row
 
 
-class TestEngineTime:
-    def test_parts_are_not_read_again_in_overload(self):
-        """Twice as much is asked as engines read. Each of them that seems to have a
-        moment reads a part that another one has, and calls that would have been served
-        where their part is are turned away: more than a tenth of all reading was that.
+class TestReadingOfParts:
+    def test_overload_causes_few_repeated_reads(self):
+        """Calls need twice the reading that engines can do. An engine that briefly
+        seems idle then reads a part that another engine has cached, and calls that the
+        other could have served are refused. More than a tenth of all tokens read were
+        such repeats.
         """
         day = lab.summary(OVERLOAD, lab.simulate(OVERLOAD, "cached", 1))
         assert day["read_again_part"] < 0.05
 
-    def test_a_part_that_many_ask_for_is_read_by_more_engines(self, monkeypatch):
-        """A third of all letters ask for one part, more than one engine answers. Left
-        where it is, its callers would be turned away beside engines with room.
+    def test_a_popular_part_is_read_by_more_than_one_engine(self, monkeypatch):
+        """A third of all letters share one part, more than one engine can serve. If
+        only that engine read the part, calls would be refused while others are idle.
         """
         monkeypatch.setattr(lab, "arrivals", with_hot_part)
         day = lab.simulate(STEADY, "cached", 1, routers=10, engines=10)
@@ -190,7 +191,7 @@
     skew=0.0,
     seconds=7.0,
 )
-"""Four workspaces that ask alike, together three times what eight engines give."""
+"""Four workspaces with equal load, in total three times what eight engines serve."""
 
 
 UNEQUAL = evolve(
@@ -200,22 +201,27 @@
     skew=1.3,
     seconds=9.0,
 )
-"""Six workspaces, the first of which asks as much as the next three."""
+"""Six workspaces, the first of which sends as many calls as the next three."""
 
 
-def one_at_one_router(call, routers):
+def pin_first_workspace_to_one_router(call, routers):
     return 0 if call.workspace == "w00" else lab.pick_round_robin(call, routers)
 
 
 class TestShares:
-    def test_calls_that_all_come_to_one_router_get_their_share(self):
-        """The balancer hands one workspace's calls to a single router, those of others
-        to all. Each look of a held call is a chance to find a place, and sixteen
-        routers look more often than one: the workspace would get a part of what others
-        get, though it asks for as much.
+    def test_a_workspace_at_one_router_gets_its_share(self):
+        """The balancer sends one workspace's calls to a single router, those of others
+        to all sixteen. Each router retries the placement of its held calls, so sixteen
+        routers find free places more often than one, and the workspace gets fewer
+        calls served than others with equal load.
         """
         day = lab.simulate(
-            EQUAL, "cached", 1, routers=16, engines=8, pick_router=one_at_one_router
+            EQUAL,
+            "cached",
+            1,
+            routers=16,
+            engines=8,
+            pick_router=pin_first_workspace_to_one_router,
         )
         begun = Counter(
             row.call.workspace
@@ -226,9 +232,9 @@
         assert begun["w00"] >= 0.8 * max(begun.values())
 
     def test_a_workspace_at_one_small_router_gets_its_share(self):
-        """The balancer hands one workspace's calls to a router with a fifth of the
-        others' processor. Most of them are beyond its share; turned away one by one
-        after a search for a place, they leave it no time for those that are not.
+        """The balancer sends one workspace's calls to a router with a fifth of the
+        others' processor. Most of the calls exceed the workspace's share. If each is
+        refused only after a placement attempt, the router has no time for the rest.
         """
         cores = [0.2] + [1.0] * 7
         day = lab.simulate(
@@ -237,36 +243,36 @@
             2,
             routers=len(cores),
             engines=8,
-            pick_router=one_at_one_router,
+            pick_router=pin_first_workspace_to_one_router,
             report_delay_s=0.2,
             cores=cores,
         )
-        calm = [row for row in day.outcomes if 2.0 < row.call.arrived < 6.0]
+        measured = [row for row in day.outcomes if 2.0 < row.call.arrived < 6.0]
         begun = Counter(
             row.call.workspace
-            for row in calm
+            for row in measured
             if row.ended != "refused" and row.at < EQUAL.seconds
         )
         assert begun["w00"] >= 0.5 * max(begun.values())
 
-    def test_the_largest_workspace_crowds_nobody_out(self):
-        """Routers hear of each other's calls a fifth of a second late, and twice as
-        much is asked as engines give. Workspaces that ask for a third of what the
-        largest one does get less than half of it.
+    def test_the_largest_workspace_does_not_starve_others(self):
+        """Routers learn of each other's calls a fifth of a second late, at twice the
+        load that engines serve. Workspaces with a third of the largest one's calls then
+        got less than half of those served.
         """
         day = lab.simulate(
             UNEQUAL, "cached", 2, routers=16, engines=10, report_delay_s=0.2
         )
-        calm = [row for row in day.outcomes if row.call.arrived > 3.0]
-        asked = Counter(row.call.workspace for row in calm)
-        got = Counter(row.call.workspace for row in calm if row.ended != "refused")
+        measured = [row for row in day.outcomes if row.call.arrived > 3.0]
+        asked = Counter(row.call.workspace for row in measured)
+        got = Counter(row.call.workspace for row in measured if row.ended != "refused")
         most = max(got.values())
         parts = [got[name] / min(asked[name], most) for name in asked]
         assert min(parts) >= 0.5
 
 
 class TestReport:
-    def test_the_report_holds_every_policy_and_its_plots(
+    def test_the_report_contains_every_policy_and_two_plots(
         self, tmp_path, monkeypatch, capsys
     ):
         monkeypatch.setattr(lab, "REMINDERS", evolve(SHORT, seconds=2.0))
