--- a/packages/fulmarroad-bench/src/fulmarroad_bench/known_red.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/known_red.py
@@ -1,13 +1,13 @@
-"""Let the tests that `KNOWN-RED.txt` lists fail, and no others: a plugin of pytest.
+"""Pytest plugin that tolerates failures of the tests listed in `KNOWN-RED.txt`.
 
     test: packages/fulmarroad/tests/test_x.py::TestX::test_y
     command: make test ARGS=packages/fulmarroad/tests/test_x.py (seed 7)
     seen: what fails, in a sentence
     issue: title of the open issue
 
-An empty line ends an entry; lines that begin with `#` are left out. A listed test that
-fails is printed and does not turn the run red. One that passes, is skipped or is not
-found does, so that an entry goes with the mend and none is forgotten.
+An empty line ends an entry; lines that begin with `#` are ignored. A listed test that
+fails is printed and does not fail the run. A listed test that passes, is skipped or is
+not found fails the run, so that its entry is removed together with the fault.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class KnownRedError(Exception):
-    """Say what is wrong with the list, and where."""
+    """Report an invalid entry of the list."""
 
 
 @frozen
 class Entry:
-    """Name a test that fails for a known fault."""
+    """Describe a test that fails because of a known fault."""
 
     test: str
     command: str
@@ -37,17 +37,17 @@
 
 
 def read_entries(text: str) -> tuple[Entry, ...]:
-    """Return the entries of a list; raise `KnownRedError` for one that is not whole."""
+    """Return the entries of a list; raise `KnownRedError` for an invalid one."""
     entries: list[Entry] = []
-    for block in _blocks(text):
-        entry = _entry(block)
+    for block in _split_blocks(text):
+        entry = _parse_entry(block)
         if any(row.test == entry.test for row in entries):
             raise KnownRedError(f"{entry.test} is listed twice; keep one entry.")
         entries.append(entry)
     return tuple(entries)
 
 
-def _blocks(text: str) -> Iterator[list[str]]:
+def _split_blocks(text: str) -> Iterator[list[str]]:
     block: list[str] = []
     for line in [*text.splitlines(), ""]:
         if line.startswith("#"):
@@ -59,63 +59,70 @@
             block = []
 
 
-def _entry(block: list[str]) -> Entry:
+def _parse_entry(block: list[str]) -> Entry:
     names = [row.name for row in fields(Entry)]
     values: dict[str, str] = {}
     for line in block:
         name, _, value = line.partition(":")
         if name not in names or name in values or not value.strip():
-            raise KnownRedError(f"Write each of {names} once; this line is off: {line}")
+            raise KnownRedError(
+                f"Write each of {names} once; this line is invalid: {line}"
+            )
         values[name] = value.strip()
     if len(values) < len(names):
-        raise KnownRedError(f"Write each of {names} for {block[0]}")
+        raise KnownRedError(
+            f"Write each of {names} in the entry that begins with: {block[0]}"
+        )
     return Entry(**values)
 
 
 @define
 class KnownRed:
-    """Judge the listed tests of one run."""
+    """Adjust the outcomes of the listed tests in one run."""
 
     entries: tuple[Entry, ...]
-    _red: list[Entry] = field(factory=list)
+    _failed: list[Entry] = field(factory=list)
 
-    def missing(self, tests: set[str], *, whole: bool) -> list[str]:
-        """Return the listed tests that a collection should hold and lacks.
+    def missing(self, tests: set[str], *, whole_suite: bool) -> list[str]:
+        """Return the listed tests that were not collected but should have been.
 
-        In a run of a part, only files that were collected can lack a test.
+        Unless the whole suite runs, only tests of collected files are expected.
         """
         files = {test.partition("::")[0] for test in tests}
         return [
             entry.test
             for entry in self.entries
             if entry.test not in tests
-            and (whole or entry.test.partition("::")[0] in files)
+            and (whole_suite or entry.test.partition("::")[0] in files)
         ]
 
-    def judge(self, report: pytest.TestReport) -> None:
-        """Turn the outcome of a listed test round."""
+    def adjust_outcome(self, report: pytest.TestReport) -> None:
+        """Turn a listed test's failure into a skip, and a pass or skip into a failure.
+
+        A failure in set-up or teardown stays a failure.
+        """
         entry = next((row for row in self.entries if row.test == report.nodeid), None)
         if entry is None or report.when != "call" and not report.skipped:
             return
         if report.failed:
-            self._red.append(entry)
+            self._failed.append(entry)
             report.outcome = "skipped"
             report.wasxfail = f"{FILE_NAME}: {entry.issue}"
             return
-        what = "passes" if report.passed else "was skipped"
+        actual = "passes" if report.passed else "was skipped"
         report.outcome = "failed"
         report.longrepr = (
-            f"{entry.test} {what}, but {FILE_NAME} lists it. Take its entry out, "
-            "or say there what fails now."
+            f"{entry.test} {actual}, but {FILE_NAME} lists it. Remove its entry, "
+            "or state there what fails now."
         )
-        # An expected failure or a skip that pytest knows of would hide the outcome.
+        # With `wasxfail` pytest would report an expected failure instead.
         vars(report).pop("wasxfail", None)
 
-    def lines(self) -> list[str]:
-        """Return what is to be printed of this run."""
+    def summary_lines(self) -> list[str]:
+        """Return the summary lines of the listed tests that failed."""
         return [
             line
-            for entry in self._red
+            for entry in self._failed
             for line in (
                 f"{entry.test}: {entry.seen}",
                 f"    {entry.command} [{entry.issue}]",
@@ -124,7 +131,7 @@
 
 
 class KnownRedPlugin:
-    """Tell pytest what the list says."""
+    """Apply the list to a pytest run."""
 
     def __init__(self, known: KnownRed) -> None:
         self._known = known
@@ -133,11 +140,13 @@
     def pytest_collection_modifyitems(
         self, config: pytest.Config, items: list[pytest.Item]
     ) -> None:
-        """End the run if a listed test does not exist."""
+        """Abort the run if a listed test does not exist."""
         if any("::" in argument for argument in config.args):
             return
-        whole = config.args == list(config.getini("testpaths"))
-        missing = self._known.missing({item.nodeid for item in items}, whole=whole)
+        whole_suite = config.args == list(config.getini("testpaths"))
+        missing = self._known.missing(
+            {item.nodeid for item in items}, whole_suite=whole_suite
+        )
         if missing:
             raise pytest.UsageError(
                 f"{FILE_NAME} lists tests that don't exist: {', '.join(missing)}"
@@ -145,22 +154,22 @@
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)
     def pytest_runtest_makereport(self) -> Iterator[None]:
-        """Judge the report of a listed test."""
+        """Adjust the report of a listed test."""
         report: Any = yield
-        self._known.judge(report)
+        self._known.adjust_outcome(report)
         return report
 
     def pytest_terminal_summary(self, terminalreporter: Any) -> None:
         """Print the listed tests that failed."""
-        lines = self._known.lines()
-        if lines:
+        summary_lines = self._known.summary_lines()
+        if summary_lines:
             terminalreporter.section("known to fail")
-        for line in lines:
+        for line in summary_lines:
             terminalreporter.write_line(line)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list at the root of the project."""
+    """Read the list at the project's root and register the plugin."""
     path = Path(config.rootpath) / FILE_NAME
     text = path.read_text() if path.exists() else ""
     try:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/losses.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/losses.py
@@ -1,12 +1,13 @@
-"""Say where calls were lost, from the log lines of serving routers.
+"""Show which calls were refused, late or failed, from the logs of serving routers.
 
     python -m fulmarroad_bench.losses LOG...            # tables
     python -m fulmarroad_bench.losses LOG... --json     # the same as one JSON object
 
-Each call ends with one line, which holds what the decision went by. This groups those
-lines by route, workspace, prompt size and second, and names a cause for each call that
-was not answered on time. What stands before a line's JSON is ignored. A caller who
-comes back after a refusal counts again: routers can't tell returns from first tries.
+Routers log one line at the end of each call, with the figures that its placement was
+based on. This program groups those lines by route, workspace, prompt size and time, and
+gives a cause for each call that was not answered on time. Text before a line's JSON is
+ignored. A caller's retry after a refusal counts as another call, because routers can't
+distinguish retries from first attempts.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from fulmarroad.events import Event
 from fulmarroad.types import RefusalReason
 
-ENDS = frozenset(
+END_EVENTS = frozenset(
     event.value.number
     for event in (
         Event.REQUEST_DONE,
@@ -42,24 +43,24 @@
 ABOVE_SHARE = "refused_above_share"
 NO_PLACE = "refused_no_place"
 
-SECONDS_EACH = 2.0
-"""Width of the rows by time: short enough to tell a fault of a few seconds."""
+TIME_ROW_S = 2.0
+"""Length of a time row in seconds; short enough to show a fault of a few seconds."""
 
 
 @define
 class Group:
-    """Count how the calls of one group ended."""
+    """Count the calls of one group by outcome."""
 
     ends: Counter[str] = field(factory=Counter)
-    waits_s: list[float] = field(factory=list)  # expected when they were refused
+    waits_s: list[float] = field(factory=list)  # expected, of calls refused
 
     @property
     def asked(self) -> int:
-        """Return all calls of the group."""
+        """Return the number of calls in the group."""
         return sum(self.ends.values())
 
     def summary(self) -> dict[str, Any]:
-        """Return the figures of the group; the wait is in seconds."""
+        """Return the number of calls by outcome and the median wait in seconds."""
         wait_s = statistics.median(self.waits_s) if self.waits_s else None
         return {
             "asked": self.asked,
@@ -69,7 +70,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[Mapping[str, Any]]:
-    """Yield the last line of each call that named a route."""
+    """Yield the final log line of each call whose route is known."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -77,13 +78,17 @@
         try:
             row = json.loads(line[start:])
         except ValueError:
-            continue  # a line of another program, or one that was cut
-        if isinstance(row, dict) and row.get("event") in ENDS and row.get("route"):
+            continue  # a line of another program, or a truncated one
+        if (
+            isinstance(row, dict)
+            and row.get("event") in END_EVENTS
+            and row.get("route")
+        ):
             yield row
 
 
 def outcome_of(row: Mapping[str, Any]) -> str:
-    """Return how a call ended, with the cause where it was not on time."""
+    """Return the outcome of a call, with the cause if it was not answered on time."""
     outcome, objective_s = row["outcome"], row["objective_s"]
     if outcome == RefusalReason.ABOVE_SHARE:
         return ABOVE_SHARE
@@ -99,8 +104,8 @@
     return EXPECTED_LATE if expected_s > objective_s else MISJUDGED
 
 
-def size_of(row: Mapping[str, Any]) -> str:
-    """Return the power of two below the size of a call's prompt, as a label."""
+def prompt_size_label(row: Mapping[str, Any]) -> str:
+    """Return the largest power of two up to a prompt's size in tokens, as a label."""
     tokens = int(row.get("shared_tokens", 0)) + int(row.get("own_tokens", 0))
     return f"{1 << (tokens.bit_length() - 1):>7}" if tokens else "plain"
 
@@ -108,17 +113,17 @@
 def group_calls(
     rows: Iterable[Mapping[str, Any]],
 ) -> dict[str, dict[str, Group]]:
-    """Return the groups of calls, by what they are grouped by and its value."""
+    """Return the groups of calls by grouping (`route`, …) and then by its value."""
     groups: dict[str, dict[str, Group]] = {
         name: {} for name in ("route", "workspace", "size", "second")
     }
     for row in rows:
-        arrived = _seconds(row.get("time", "")) - row["seconds"]
+        arrived = _seconds_of_day(row.get("time", "")) - row["seconds"]
         keys = {
             "route": row["route"],
             "workspace": row["workspace"] or "(none)",
-            "size": size_of(row),
-            "second": f"{arrived // SECONDS_EACH * SECONDS_EACH:8.0f}",
+            "size": prompt_size_label(row),
+            "second": f"{arrived // TIME_ROW_S * TIME_ROW_S:8.0f}",
         }
         end = outcome_of(row)
         for name, key in keys.items():
@@ -129,8 +134,8 @@
     return groups
 
 
-def _seconds(time: str) -> float:
-    """Return the second of the day of a line's time, `YYYY-MM-DD HH:MM:SS,mmm`."""
+def _seconds_of_day(time: str) -> float:
+    """Return the seconds since midnight of a time `YYYY-MM-DD HH:MM:SS,mmm`."""
     try:
         hours, minutes, seconds = time.split(" ")[1].replace(",", ".").split(":")
         return 3600 * int(hours) + 60 * int(minutes) + float(seconds)
@@ -139,7 +144,7 @@
 
 
 def table(name: str, groups: Mapping[str, Group]) -> str:
-    """Return one grouping as text, the ends in the order of their number."""
+    """Return one grouping as a text table, most frequent outcomes first."""
     total: Counter[str] = Counter()
     for group in groups.values():
         total.update(group.ends)
@@ -154,7 +159,13 @@
 
 
 def main(*paths: str, json: bool = False) -> None:
-    """Print where the calls of some logs were lost."""
+    """Print the calls of router logs, grouped and by outcome.
+
+    Args:
+        paths: log files.
+        json: print one JSON object instead of tables.
+
+    """
     if not paths:
         raise SystemExit("Name one log file or more.")
     texts = (Path(path).read_text(errors="replace").splitlines() for path in paths)
--- a/packages/fulmarroad-bench/tests/test_known_red.py
+++ b/packages/fulmarroad-bench/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: read, and obeyed by a run of pytest."""
+"""Test how `KNOWN-RED.txt` is parsed and applied to a pytest run."""
 
 import sys
 from subprocess import run
@@ -18,14 +18,14 @@
 PASSES = "def test_books():\n    assert 1 == 1\n"
 SKIPS = "import pytest\n\n\ndef test_books():\n    pytest.skip('not now')\n"
 MARKED = "import pytest\n\n\n@pytest.mark.xfail\ndef test_books():\n    assert 0\n"
-NO_SET_UP = (
+FAILS_IN_SET_UP = (
     "import pytest\n\n\n@pytest.fixture\ndef shop():\n    raise OSError\n\n\n"
     "def test_books(shop):\n    pass\n"
 )
 
 
-def play(folder, test, listed=ENTRY, *arguments):
-    """Run a project with one test file; return its exit code and what it printed."""
+def run_pytest(folder, test, listed=ENTRY, *arguments):
+    """Run pytest on a project with one test file; return exit code and output."""
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = .\n")
     (folder / "KNOWN-RED.txt").write_text(listed)
     (folder / "test_it.py").write_text(test)
@@ -35,8 +35,8 @@
     return done.returncode, done.stdout + done.stderr
 
 
-class TestReading:
-    def test_an_entry_is_read_with_its_four_fields(self):
+class TestReadEntries:
+    def test_an_entry_has_four_fields(self):
         assert read_entries("# first work next time\n" + ENTRY) == (
             Entry(
                 "test_it.py::test_books",
@@ -59,51 +59,51 @@
             ENTRY + ENTRY,
         ],
     )
-    def test_an_entry_that_is_not_whole_is_an_error(self, text):
+    def test_an_invalid_entry_is_an_error(self, text):
         with pytest.raises(KnownRedError):
             read_entries(text)
 
 
 class TestRuns:
-    def test_a_listed_test_may_fail_and_is_printed(self, tmp_path):
-        code, text = play(tmp_path, FAILS)
+    def test_a_listed_test_that_fails_is_printed(self, tmp_path):
+        code, text = run_pytest(tmp_path, FAILS)
         assert code == 0
         assert "a call is booked twice" in text
         assert "make test (seed 7) [Calls that run twice]" in text
 
-    def test_another_test_may_not_fail(self, tmp_path):
+    def test_an_unlisted_test_that_fails_fails_the_run(self, tmp_path):
         other = FAILS + "\n\ndef test_posts():\n    assert 0\n"
-        code, text = play(tmp_path, other)
+        code, text = run_pytest(tmp_path, other)
         assert code == 1
         assert "test_posts" in text
 
     @pytest.mark.parametrize("test", [PASSES, SKIPS, MARKED])
-    def test_an_entry_has_to_go_once_its_test_no_longer_fails(self, tmp_path, test):
-        """A fault is mended and its entry stays. When the fault comes back, the run
-        would be green and nobody would be told.
+    def test_an_entry_whose_test_does_not_fail_is_an_error(self, tmp_path, test):
+        """If an entry stayed after its fault was fixed, a return of the fault would not
+        fail the run.
         """
-        code, text = play(tmp_path, test)
+        code, text = run_pytest(tmp_path, test)
         assert code == 1
-        assert "Take its entry out" in text
+        assert "Remove its entry" in text
 
     def test_a_listed_test_whose_fixture_fails_is_an_error(self, tmp_path):
-        """The bed of a listed test breaks. Nothing is known of the fault any more, so
-        this must not count as the failure that the entry allows.
+        """If the set-up of a listed test fails, the test itself did not run, so this is
+        not the failure that the entry allows.
         """
-        code, _ = play(tmp_path, NO_SET_UP)
+        code, _ = run_pytest(tmp_path, FAILS_IN_SET_UP)
         assert code == 1
 
-    def test_a_listed_test_has_to_exist(self, tmp_path):
-        code, text = play(tmp_path, PASSES.replace("books", "posts"))
+    def test_a_listed_test_that_does_not_exist_is_an_error(self, tmp_path):
+        code, text = run_pytest(tmp_path, PASSES.replace("books", "posts"))
         assert code == 4
         assert "don't exist" in text
 
-    def test_a_run_of_other_files_does_not_look_for_it(self, tmp_path):
+    def test_a_run_of_other_files_ignores_the_entry(self, tmp_path):
         (tmp_path / "test_more.py").write_text("def test_more():\n    pass\n")
-        code, _ = play(tmp_path, FAILS, ENTRY, "test_more.py")
+        code, _ = run_pytest(tmp_path, FAILS, ENTRY, "test_more.py")
         assert code == 0
 
-    def test_a_list_that_cannot_be_read_ends_the_run(self, tmp_path):
-        code, text = play(tmp_path, PASSES, "test test_it.py\n")
+    def test_an_invalid_list_aborts_the_run(self, tmp_path):
+        code, text = run_pytest(tmp_path, PASSES, "test test_it.py\n")
         assert code == 4
         assert "KNOWN-RED.txt: Write each of" in text
--- a/packages/fulmarroad-bench/tests/test_losses.py
+++ b/packages/fulmarroad-bench/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where calls were lost, read from routers' log lines."""
+"""Test how lost calls are classified and grouped from routers' log lines."""
 
 import json
 
@@ -44,13 +44,13 @@
             ({"event": 502, "outcome": "timeout"}, "timeout"),
         ],
     )
-    def test_each_call_has_one(self, change, end):
+    def test_each_call_has_one_outcome(self, change, end):
         (row,) = losses.read_lines(lines(change))
         assert losses.outcome_of(row) == end
 
 
 class TestGroups:
-    def test_calls_are_counted_by_route_workspace_size_and_second(self):
+    def test_calls_are_grouped_by_route_workspace_size_and_second(self):
         rows = lines({}, {"workspace": "farm"}, REFUSED, {"own_tokens": 9_000})
         groups = losses.group_calls(losses.read_lines(rows))
         assert groups["route"]["r-1"].asked == 4
@@ -62,9 +62,9 @@
         assert list(groups["second"]) == ["   40402"]
         assert groups["route"]["r-1"].summary()["median_wait_at_refusal_s"] == 0.05
 
-    def test_other_lines_and_cut_ones_are_passed_over(self):
-        """Logs hold lines of other events and of other programs, and the last line of
-        a router that was killed is cut in the middle.
+    def test_unrelated_and_truncated_lines_are_ignored(self):
+        """Logs contain lines of other events and programs, and the last line of a
+        killed router is truncated. Such lines must not end the report.
         """
         cut = lines({})[0][:80]
         rows = ["started", json.dumps({"event": 100}), cut, *lines({})]
@@ -72,15 +72,15 @@
 
 
 class TestCommand:
-    def test_tables_and_json(self, tmp_path, capsys):
+    def test_prints_tables_or_json(self, tmp_path, capsys):
         path = tmp_path / "router.log"
         path.write_text("\n".join(lines({}, REFUSED)))
         losses.main(str(path))
         assert losses.NO_PLACE in capsys.readouterr().out
         losses.main(str(path), json=True)
-        told = json.loads(capsys.readouterr().out)
-        assert told["workspace"]["coop"][losses.ON_TIME] == 1
+        report = json.loads(capsys.readouterr().out)
+        assert report["workspace"]["coop"][losses.ON_TIME] == 1
 
-    def test_without_a_file_it_says_what_to_do(self):
+    def test_a_missing_file_argument_is_reported(self):
         with pytest.raises(SystemExit, match="Name one log file"):
             losses.main()
