--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -121,7 +121,7 @@
         if not hmac.compare_digest(presented, self._token):
             client = scope.get("client") or ("", 0)
             emit(logger, Event.ADMIN_REJECTED, client=client[0], path=scope["path"])
-            raise AdminError(401, "Send the admin token as `Authorization: Bearer`.")
+            raise AdminError(401, "Show the admin token as `Authorization: Bearer`.")
 
     async def _status(self, query: Query, body: bytes) -> Any:
         return self._operations.status()
@@ -129,7 +129,7 @@
     async def _explain(self, query: Query, body: bytes) -> Any:
         route = query.get("route", "")
         if not route:
-            raise AdminError(400, "The route is missing: /explain?route=NAME.")
+            raise AdminError(400, "Name the route: /explain?route=NAME.")
         return self._operations.explain(route, query.get("workspace", ""))
 
     async def _tables(self, query: Query, body: bytes) -> Any:
--- a/packages/fulmarroad-router/src/fulmarroad_router/app.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/app.py
@@ -163,7 +163,7 @@
         bearer = bearer_token(headers)
         workspace = lookup.workspace_for_key(bearer) if bearer else None
         if workspace is None:
-            raise Unauthorized("Send a valid API key as `Authorization: Bearer KEY`.")
+            raise Unauthorized("Send a known key as `Authorization: Bearer KEY`.")
         return workspace
 
     def _build_call(
@@ -180,20 +180,16 @@
         chat = parse_chat_body(body) if is_chat else ChatBody()
         route = lookup.route_for(method, path, chat.model, workspace.name)
         if route is None:
-            raise RouteNotFound("No route matches this method, path and model.")
+            raise RouteNotFound("No route of the tables takes this call.")
         context.route = route.name
         if len(body) > route.max_body_bytes:
-            raise BodyTooLarge(
-                f"The body must not exceed {route.max_body_bytes} bytes on this route."
-            )
+            raise BodyTooLarge(f"A body may have {route.max_body_bytes} bytes here.")
         headers = scope["headers"]
         query = scope.get("query_string", b"")
         target = scope.get("raw_path") or path.encode()
         key = header(headers, b"idempotency-key")
         if len(key) > MAX_KEY_LENGTH:
-            raise BadRequest(
-                f"`Idempotency-Key` must not exceed {MAX_KEY_LENGTH} characters."
-            )
+            raise BadRequest(f"`Idempotency-Key` may have {MAX_KEY_LENGTH} characters.")
         return Call(
             request_id=context.request_id,
             workspace=workspace,
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -98,7 +98,7 @@
     """
     length = next((value for name, value in headers if name == b"content-length"), b"")
     if length and (not length.isdigit() or int(length) > max_bytes):
-        raise BodyTooLarge(f"The body must not exceed {max_bytes} bytes.")
+        raise BodyTooLarge(f"A body may have {max_bytes} bytes.")
     body = bytearray()
     while True:
         event = await receive()
@@ -106,7 +106,7 @@
             raise CallerDisconnected
         body += event.get("body", b"")
         if len(body) > max_bytes:
-            raise BodyTooLarge(f"The body must not exceed {max_bytes} bytes.")
+            raise BodyTooLarge(f"A body may have {max_bytes} bytes.")
         if not event.get("more_body", False):
             return bytes(body)
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/calls.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/calls.py
@@ -180,10 +180,10 @@
         raise BadRequest("The body must be a JSON object.")
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise BadRequest("`messages` must be a non-empty list.")
+        raise BadRequest("The body needs `messages`, a list that is not empty.")
     model = document.get("model")
     if not isinstance(model, str) or not model:
-        raise BadRequest("`model` must be a non-empty string.")
+        raise BadRequest("The body needs `model`, a name.")
     stream = document.get("stream", False)
     if not isinstance(stream, bool | None):
         raise BadRequest("`stream` must be true or false.")
@@ -216,6 +216,6 @@
         if value is None:
             continue
         if type(value) is not int or value < 1:
-            raise BadRequest(f"`{name}` must be a positive integer.")
+            raise BadRequest(f"`{name}` must be a whole number above 0.")
         return value
     return DEFAULT_ANSWER_TOKENS
--- a/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/exceptions.py
@@ -153,32 +153,26 @@
 
 
 _REFUSAL_MESSAGES = {
-    RefusalReason.QUEUE_FULL: "The queue of the fleet is full. Try again later.",
+    RefusalReason.QUEUE_FULL: "The fleet's queue is full. Try again later.",
     RefusalReason.WORKSPACE_QUEUE_FULL: (
-        "Too many requests of this workspace are waiting or running. "
-        "Send fewer at once."
+        "Too many requests of this workspace wait already. Send fewer at once."
     ),
     RefusalReason.WAIT_TOO_LONG: "The wait would be too long. Try again later.",
-    RefusalReason.DEADLINE_PASSED: (
-        "No capacity became available in time. Try again later."
-    ),
-    RefusalReason.NO_SERVERS: "No backend server accepts calls for this route now.",
+    RefusalReason.DEADLINE_PASSED: ("No capacity came free in time. Try again later."),
+    RefusalReason.NO_SERVERS: "No backend server takes work for this route now.",
     RefusalReason.SHUTTING_DOWN: "This router is shutting down. Try again at once.",
-    RefusalReason.ABOVE_SHARE: (
-        "Your workspace already uses its share. Try again later."
-    ),
+    RefusalReason.ABOVE_SHARE: ("Your workspace uses its share. Come back later."),
     RefusalReason.ROUTER_BUSY: "This router is busy. Try another one at once.",
     RefusalReason.NOT_READY: "This router is not ready yet. Try again shortly.",
     RefusalReason.RETRY_BUDGET: (
-        "The backend server could not be reached and no further retry is allowed."
+        "The backend server could not be reached and too many retries run already."
     ),
-    RefusalReason.KEY_IN_PROGRESS: "The first attempt with this key is still running.",
+    RefusalReason.KEY_IN_PROGRESS: "The first attempt of this key still runs.",
     RefusalReason.KEY_UNVERIFIABLE: (
-        "It can't be checked now whether this key has run before. Try again later."
+        "It can't be shown now that this key has not run before. Try again later."
     ),
     RefusalReason.REQUEST_SUSPECTED: (
-        "Servers crashed while running this request, and a copy of it is running. "
-        "Try again later."
+        "Servers ended under this request, and a copy of it runs now. Try again later."
     ),
-    RefusalReason.KEYS_FULL: "Too many idempotency keys are stored. Try again later.",
+    RefusalReason.KEYS_FULL: "Too many idempotency keys are kept. Try again later.",
 }
--- a/packages/fulmarroad-router/src/fulmarroad_router/execution.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/execution.py
@@ -176,11 +176,11 @@
         It says "not run" only if no try of the call was sent.
         """
         if progress.tokens:
-            return AnswerBroken("The answer was interrupted and could not be resumed.")
+            return AnswerBroken("The answer broke off and could not be resumed.")
         if progress.sent:
             return OutcomeUnknown(
-                "The call was sent and failed, and no backend server was available "
-                "to repeat it; it may have run."
+                "The call was sent and broke off, and no backend server was free to "
+                "repeat it; it may have run."
             )
         return refused
 
@@ -380,7 +380,7 @@
         if responder.begun:
             if exhausted or not (call.pool.can_resume and call.chat.stream):
                 raise AnswerBroken(
-                    "The backend server interrupted its answer."
+                    "The backend server broke its answer off."
                 ) from error
             emit(
                 logger,
--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -161,8 +161,8 @@
         )
         if not answer.whole:
             raise AnswerNotKept(
-                f"The call with this key ended with status {answer.status}; "
-                "its answer was too long to be stored."
+                f"This key's call ended with status {answer.status}; its answer was "
+                "too long to be kept."
             )
         headers = [
             (name.encode("latin-1"), value.encode("latin-1"))
@@ -185,12 +185,10 @@
 def _refusal_error(call: Call, decision: KeyDecision) -> CallError:
     match decision:
         case KeyMismatch():
-            return KeyReused(
-                "This `Idempotency-Key` was already used for a different request."
-            )
+            return KeyReused("This `Idempotency-Key` came with another request.")
         case KeyOutcomeUnknown():
             return OutcomeUnknown(
-                "The call with this key was sent before and its outcome is unknown."
+                "This key's call was sent before and its outcome is not known."
             )
         case KeyRefusal(reason, retry_after_s):
             if call.first_attempt:
@@ -198,8 +196,8 @@
             # This attempt was not sent, but the caller would read "not run" as a
             # statement about the call, and an earlier attempt may have run.
             return KeyUnverifiable(
-                "This attempt was not sent. Whether an earlier one with this key ran "
-                "can't be checked now. Try again with the same key.",
+                "This attempt was not sent; whether an earlier one with this key ran "
+                "can't be told now. Try again with the same key.",
                 code=reason.value,
                 retry_after_s=retry_after_s,
             )
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_metrics.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_metrics.py
@@ -31,7 +31,7 @@
         )
         self.estimate_error = Histogram(
             "fulmarroad_first_estimate_error_seconds",
-            "Time from sending to the first part of the answer, minus the estimate",
+            "Time from sending to the first part, beyond what was estimated",
             ["kind"],
             buckets=ESTIMATE_ERROR_BUCKETS,
             registry=self._registry,
@@ -48,7 +48,7 @@
         )
         self.peers = Gauge(
             "fulmarroad_peers_alive",
-            "Peers with a recent report",
+            "Peers heard lately",
             registry=self._registry,
         )
         self.version = Gauge(
@@ -58,17 +58,17 @@
         )
         self.store_age = Gauge(
             "fulmarroad_store_age_seconds",
-            "Time since this router last got an answer from the store",
+            "Time since this router heard from the store itself",
             registry=self._registry,
         )
         self.loop_late = Gauge(
             "fulmarroad_loop_late_seconds",
-            "Delay of the event loop that was sustained for 0.12 s",
+            "Delay with which the event loop runs what is due, standing for 0.12 s",
             registry=self._registry,
         )
         self.dropped = Gauge(
             "fulmarroad_log_lines_dropped",
-            "Dropped log lines that are not yet reported in the log",
+            "Log lines waiting to be told as dropped",
             registry=self._registry,
         )
 
