--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
@@ -12,7 +12,7 @@
 from fulmarroad.messages import (
     KeyFinish,
     KeyStart,
-    MembersGiven,
+    MembersReply,
     MemberUpdate,
     encode,
 )
@@ -246,7 +246,7 @@
     """Return a member that knows all the others, as after it joined."""
     swim = Swim(_member(index), seed=index, now=0.0)
     others = tuple(_member(n) for n in range(members) if n != index)
-    page = MembersGiven(0, others[0].router, 0, others, others[-1].router)
+    page = MembersReply(0, others[0].router, 0, others, others[-1].router)
     swim.handle(page, 0.0)
     swim.changes()
     return swim
@@ -291,8 +291,8 @@
         packets.append(sent / each)
         traffic.append(total / each)
         times.append(spent_us / each)
-    update = len(encode(MembersGiven(0, "r", 0, (_member(0), _member(1)))))
-    update -= len(encode(MembersGiven(0, "r", 0, (_member(0),))))
+    update = len(encode(MembersReply(0, "r", 0, (_member(0), _member(1)))))
+    update -= len(encode(MembersReply(0, "r", 0, (_member(0),))))
     return [
         measure(
             "member_bytes",
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
@@ -238,7 +238,7 @@
     try:
         code = run_main(main)
     except FulmarroadError as error:
-        print(error.show(), file=sys.stderr)
+        print(error.format_message(), file=sys.stderr)
         code = error.exit_code
     sys.exit(code)
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
@@ -219,7 +219,7 @@
     try:
         line = run_main(run)
     except FulmarroadError as error:
-        print(error.show(), file=sys.stderr)
+        print(error.format_message(), file=sys.stderr)
         sys.exit(error.exit_code)
     for key, value in line.items():
         print(f"{key:<24} {value}")
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/rounds.py
@@ -96,7 +96,7 @@
     try:
         line = run_file(path, seed, policy, routers)
     except FulmarroadError as error:
-        print(f"{path.stem} {policy} {seed}: {error.show()}", file=sys.stderr)
+        print(f"{path.stem} {policy} {seed}: {error.format_message()}", file=sys.stderr)
         return
     print(row_of(line), flush=True)
     with out.open("a") as lines:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
@@ -370,7 +370,7 @@
     try:
         line = run_file(Path(scenario), seed, policy, routers)
     except FulmarroadError as error:
-        print(error.show(), file=sys.stderr)
+        print(error.format_message(), file=sys.stderr)
         sys.exit(error.exit_code)
     print(table_of(line))
     print(json.dumps(line))
--- a/packages/fulmarroad-bench/tests/test_scenarios.py
+++ b/packages/fulmarroad-bench/tests/test_scenarios.py
@@ -35,7 +35,7 @@
     def test_each_problem_is_named(self, raw, problem):
         with pytest.raises(ConfigurationError) as caught:
             parse_scenario("x", raw)
-        assert problem in caught.value.show()
+        assert problem in caught.value.format_message()
 
     def test_every_problem_is_told_at_once(self):
         raw = {"group": [{"callers": 1}], "speed": 1, "seconds": 300}
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/cli.py
@@ -81,7 +81,7 @@
 
 def _report(error: FulmarroadError, *, as_json: bool) -> None:
     if not as_json:
-        print(f"error: {error.show()}", file=sys.stderr)
+        print(f"error: {error.format_message()}", file=sys.stderr)
         return
     problems = error.problems if isinstance(error, ConfigurationError) else ()
     document = {"error": error.message, "hint": error.hint, "problems": list(problems)}
--- a/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
@@ -8,7 +8,7 @@
 import anyio
 
 from fulmarroad.admission import Admission, LoadView, RetryBudget
-from fulmarroad.coordination import Coordinator, GiveUp, Rejected
+from fulmarroad.coordination import Coordinator, RejectDemand, Rejected
 from fulmarroad.tables import Tables
 from fulmarroad.types import RefusalReason
 from fulmarroad_router.calls import Call
@@ -77,9 +77,9 @@
         if not self._running[call.workspace.name]:
             del self._running[call.workspace.name]
 
-    def may_retry(self, pool: str) -> bool:
-        """Take one retry from a pool's budget; tell whether there was one."""
-        return self._budget.may_retry(pool, self._clock())
+    def take_retry(self, pool: str) -> bool:
+        """Take one retry from a pool's budget; return whether there was one."""
+        return self._budget.take_retry(pool, self._clock())
 
     async def run(self) -> None:
         """Give up waiting calls that turn hopeless, until cancelled."""
@@ -88,13 +88,13 @@
             tables = self._tables()
             for pool in tables.pools if tables else ():
                 wait_s = self._coordinator.follower.estimated_wait_s(pool)
-                self._admission.note_wait(pool, wait_s)
+                self._admission.set_estimated_wait(pool, wait_s)
             self._answer_shed(self._clock())
 
     def _answer_shed(self, now: float) -> None:
         for demand_id, refusal in self._admission.shed(now):
             rejection = Rejected(demand_id, refusal.reason, refusal.retry_after_s)
-            self._coordinator.send_command(GiveUp(rejection))
+            self._coordinator.send_command(RejectDemand(rejection))
 
     def _servers(self, call: Call) -> int:
         tables = self._tables()
--- a/packages/fulmarroad-router/src/fulmarroad_router/cli.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/cli.py
@@ -24,7 +24,7 @@
         configure_logs(loaded.log.level.value, loaded.router.name)
         anyio.run(_run, loaded, backend_options={"use_uvloop": True})
     except FulmarroadError as error:
-        print(error.show(), file=sys.stderr)
+        print(error.format_message(), file=sys.stderr)
         raise SystemExit(error.exit_code) from error
     except ExceptionGroup as group:
         _exit(group)
@@ -43,7 +43,7 @@
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     assert isinstance(error, FulmarroadError)
-    print(error.show(), file=sys.stderr)
+    print(error.format_message(), file=sys.stderr)
     raise SystemExit(error.exit_code) from error
 
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/execution.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/execution.py
@@ -334,7 +334,7 @@
         progress.failed = (*progress.failed, lease.server.name)
         if progress.tokens and progress.tries < MAX_TRIES:
             return
-        if progress.tries < MAX_TRIES and self._admission_controller.may_retry(
+        if progress.tries < MAX_TRIES and self._admission_controller.take_retry(
             call.pool.name
         ):
             self._note_retry(call, lease, error)
@@ -371,7 +371,7 @@
         if (
             call.route.repeatable
             and not spent
-            and self._admission_controller.may_retry(call.pool.name)
+            and self._admission_controller.take_retry(call.pool.name)
         ):
             self._note_retry(call, lease, error)
             return
--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -32,15 +32,15 @@
 from fulmarroad.exceptions import MessageError
 from fulmarroad.membership import Gossip, Swim
 from fulmarroad.messages import (
-    KeyCopyGiven,
-    KeyCopyWanted,
+    KeyCopyReply,
+    KeyCopyRequest,
     KeyFence,
     KeyFinish,
     KeyRecorded,
     KeyStart,
     MemberUpdate,
-    TablesGiven,
-    TablesWanted,
+    TablesReply,
+    TablesRequest,
 )
 from fulmarroad.supervision import ChildSpec, Supervisor
 from fulmarroad.tables import (
@@ -129,7 +129,7 @@
             clock=self._clock,
             cut=self._is_cut,
         )
-        self._questions = PeerClient(
+        self._peer_client = PeerClient(
             name,
             self._addresses,
             self._traffic,
@@ -175,7 +175,7 @@
         emit(logger, Event.SHUTDOWN_DONE)
 
     async def _open_gate(self) -> None:
-        await self._watcher.settled.wait()
+        await self._watcher.ready.wait()
         await self._bound.wait()
         self._gate.open()
         emit(logger, Event.READY)
@@ -220,9 +220,9 @@
 
     async def on_request(self, peer: str, message: Any) -> Any:
         """Answer a single question."""
-        if isinstance(message, TablesWanted):
-            return self._watcher.give(message)
-        if isinstance(message, KeyStart | KeyFence | KeyFinish | KeyCopyWanted):
+        if isinstance(message, TablesRequest):
+            return self._watcher.make_reply(message)
+        if isinstance(message, KeyStart | KeyFence | KeyFinish | KeyCopyRequest):
             return self._keys.handle(message)
         raise MessageError(f"{type(message).__name__} is no question.")
 
@@ -384,12 +384,12 @@
         self._tell_members()
 
     async def _ask_member(self, peer: str, message: Any) -> Any:
-        wanted = isinstance(message, KeyCopyWanted)
-        cls = KeyCopyGiven if wanted else KeyRecorded
-        return await self._questions.ask(peer, message, cls, ASK_TIMEOUT_S)
+        is_copy_request = isinstance(message, KeyCopyRequest)
+        cls = KeyCopyReply if is_copy_request else KeyRecorded
+        return await self._peer_client.ask(peer, message, cls, ASK_TIMEOUT_S)
 
-    async def _fetch_tables(self, peer: str, wanted: TablesWanted) -> TablesGiven:
-        return await self._questions.ask(peer, wanted, TablesGiven, ASK_TIMEOUT_S)
+    async def _fetch_tables(self, peer: str, request: TablesRequest) -> TablesReply:
+        return await self._peer_client.ask(peer, request, TablesReply, ASK_TIMEOUT_S)
 
     def _soon(
         self, function: Callable[[Any], Coroutine[Any, Any, None]], value: Any
--- a/packages/fulmarroad-router/tests/test_settings.py
+++ b/packages/fulmarroad-router/tests/test_settings.py
@@ -141,7 +141,7 @@
         try:
             return parse_settings(text)
         except ConfigurationError as error:
-            return error.show()
+            return error.format_message()
 
     @pytest.mark.parametrize(
         "text", ["[" * 5000, "a=" + "[" * 5000, "x = 1" + "0" * 5000]
--- a/packages/fulmarroad/src/fulmarroad/_acceptance.py
+++ b/packages/fulmarroad/src/fulmarroad/_acceptance.py
@@ -14,7 +14,7 @@
 from attrs import evolve, frozen
 
 from fulmarroad._manifest import Manifest, TableName, check_part
-from fulmarroad._messages import TablesGiven, TablesWanted
+from fulmarroad._messages import TablesReply, TablesRequest
 from fulmarroad._route_index import RouteIndex
 from fulmarroad._table_diff import TableChange, diff_tables
 from fulmarroad._table_rows import PartRows, read_part
@@ -113,13 +113,13 @@
         """Return the SHA-256 of each part of the version in force."""
         return tuple(sorted(self._current.parts)) if self._current else ()
 
-    def consider(self, manifest: Manifest, source: str) -> Acceptance:
+    def check_manifest(self, manifest: Manifest, source: str) -> Acceptance:
         """Check a manifest before its parts are fetched, and list the missing parts.
 
         With the verdict `INCOMPLETE`, the caller fetches the missing parts and calls
         `offer`; any other verdict is final.
         """
-        verdict = self._check_manifest(manifest)
+        verdict = self._compare_version(manifest)
         missing = tuple(sorted(manifest.hashes - set(self.known)))
         if verdict is Verdict.INVALID and self._last_invalid is not None:
             return self._result(
@@ -137,7 +137,7 @@
         `parts` maps SHA-256 to content and may omit parts that the store holds.
         `source` names the origin of the offer: the service or a peer.
         """
-        preliminary = self.consider(manifest, source)
+        preliminary = self.check_manifest(manifest, source)
         if preliminary.verdict is not Verdict.INCOMPLETE:
             return preliminary
         missing = tuple(sha for sha in preliminary.missing if sha not in parts)
@@ -156,20 +156,20 @@
             )
         return self._apply(manifest, contents, source)
 
-    def wanted(self) -> TablesWanted:
+    def make_request(self) -> TablesRequest:
         """Return the request that asks a peer for a newer version."""
-        return TablesWanted(self.version, self.known)
+        return TablesRequest(self.version, self.known)
 
-    def give(self, wanted: TablesWanted) -> TablesGiven:
+    def make_reply(self, request: TablesRequest) -> TablesReply:
         """Return the version in force if it is newer than the peer's.
 
         Parts beyond the size limit of one reply are left out; the peer asks again and
         lists the parts that it has received in `known`.
         """
         held = self._current
-        if held is None or held.manifest.version <= wanted.above:
-            return TablesGiven(self.version)
-        missing = sorted(held.parts.keys() - set(wanted.known))
+        if held is None or held.manifest.version <= request.above:
+            return TablesReply(self.version)
+        missing = sorted(held.parts.keys() - set(request.known))
         parts: dict[str, bytes] = {}
         size = 0
         for sha in missing:
@@ -177,9 +177,9 @@
             if parts and size > MAX_REPLY_BYTES:
                 break
             parts[sha] = held.parts[sha]
-        return TablesGiven(held.manifest.version, held.manifest.raw, parts)
+        return TablesReply(held.manifest.version, held.manifest.raw, parts)
 
-    def _check_manifest(self, manifest: Manifest) -> Verdict:
+    def _compare_version(self, manifest: Manifest) -> Verdict:
         if manifest.version < self.version:
             return Verdict.LOWER
         if manifest.version == 0:
--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -152,7 +152,7 @@
         if not own:
             del self._by_workspace[entry.workspace]
 
-    def note_wait(self, pool: PoolName, wait_s: float) -> None:
+    def set_estimated_wait(self, pool: PoolName, wait_s: float) -> None:
         """Store the wait that the pool's schedulers estimate now."""
         self._wait_s[pool] = wait_s
 
--- a/packages/fulmarroad/src/fulmarroad/_commands.py
+++ b/packages/fulmarroad/src/fulmarroad/_commands.py
@@ -11,7 +11,7 @@
 
 from fulmarroad import _messages as m
 from fulmarroad._following import Ask, Granted, Rejected
-from fulmarroad._questions import PeerAddress
+from fulmarroad._peer_client import PeerAddress
 from fulmarroad._tables import Tables
 from fulmarroad.types import DataCentreName, RouterName
 
@@ -34,7 +34,7 @@
 
 
 @frozen
-class GiveUp:
+class RejectDemand:
     """Reject a waiting demand at once with the given rejection."""
 
     rejection: Rejected
--- a/packages/fulmarroad/src/fulmarroad/_config_task.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_task.py
@@ -21,7 +21,7 @@
 from fulmarroad._config_polling import Poller
 from fulmarroad._config_source import ConfigurationSource
 from fulmarroad._manifest import MAX_PARTS, Manifest, parse_manifest
-from fulmarroad._messages import TablesGiven, TablesWanted
+from fulmarroad._messages import TablesReply, TablesRequest
 from fulmarroad._rendezvous import watchers
 from fulmarroad._table_diff import TableChange
 from fulmarroad._tables import Tables
@@ -103,7 +103,7 @@
         me: RouterName,
         live: Callable[[], Collection[RouterName]],
         peers: Callable[[], Sequence[RouterName]],
-        fetch_from_peer: Callable[[RouterName, TablesWanted], Awaitable[TablesGiven]],
+        fetch_from_peer: Callable[[RouterName, TablesRequest], Awaitable[TablesReply]],
         on_tables: Callable[[Tables], None],
         on_vm_list: Callable[[VmListing], None],
         audit: AuditTrail,
@@ -131,15 +131,15 @@
         self._offer_lock = anyio.Lock()
         self._reported_versions: dict[RouterName, int] = {}
         self._version_reported = anyio.Event()
-        self._settled = anyio.Event()
+        self._ready = anyio.Event()
         self._vm_list_version = 0
         self._logged_refusals: set[tuple[Verdict, int]] = set()
         self._highest_invalid_version = 0
 
     @property
-    def settled(self) -> anyio.Event:
+    def ready(self) -> anyio.Event:
         """Return the event that is set once this router may serve."""
-        return self._settled
+        return self._ready
 
     @property
     def is_watcher(self) -> bool:
@@ -160,9 +160,9 @@
             self._reported_versions[router] = version
             self._version_reported.set()
 
-    def give(self, wanted: TablesWanted) -> TablesGiven:
+    def make_reply(self, request: TablesRequest) -> TablesReply:
         """Return the reply to a peer's request for tables."""
-        return self._store.give(wanted)
+        return self._store.make_reply(request)
 
     def _manifest_poller(self) -> Poller:
         return Poller(
@@ -185,13 +185,13 @@
         )
 
     async def _join(self) -> None:
-        """Set `settled` once the peers' versions are known or the wait is over."""
+        """Set `ready` once the peers' versions are known or the wait is over."""
         deadline = anyio.current_time() + JOIN_TIMEOUT_S
-        while not self._settled.is_set():
+        while not self._ready.is_set():
             conclusive = await self._ask_peers()
             late = anyio.current_time() >= deadline
             if self._store.in_force is not None and (conclusive or late):
-                self._settled.set()
+                self._ready.set()
             else:
                 await anyio.sleep(JOIN_RETRY_S)
 
@@ -251,17 +251,17 @@
         """
         parts: dict[str, bytes] = {}
         while True:
-            wanted = self._store.wanted()
-            wanted = evolve(wanted, known=(*wanted.known, *parts))
-            given = await self._fetch_from_peer(router, wanted)
-            if not given.manifest:
-                return given.version
-            manifest = parse_manifest(given.manifest)
-            new_parts = given.parts.keys() - parts.keys()
-            parts |= given.parts
+            request = self._store.make_request()
+            request = evolve(request, known=(*request.known, *parts))
+            reply = await self._fetch_from_peer(router, request)
+            if not reply.manifest:
+                return reply.version
+            manifest = parse_manifest(reply.manifest)
+            new_parts = reply.parts.keys() - parts.keys()
+            parts |= reply.parts
             acceptance = await self._offer(manifest, parts, f"peer {router}")
             if acceptance.verdict is not Verdict.INCOMPLETE:
-                return given.version
+                return reply.version
             if not new_parts or acceptance.problems or len(parts) > MAX_PARTS:
                 raise ConfigurationError(f"Peer {router} did not send complete tables.")
 
@@ -273,7 +273,7 @@
             return
         if manifest.version == 0:
             return
-        acceptance = self._store.consider(manifest, "service")
+        acceptance = self._store.check_manifest(manifest, "service")
         if acceptance.verdict is not Verdict.INCOMPLETE:
             self._report_refusal(acceptance)
             return
--- a/packages/fulmarroad/src/fulmarroad/_coordinator.py
+++ b/packages/fulmarroad/src/fulmarroad/_coordinator.py
@@ -23,12 +23,12 @@
     Detached,
     FromPeer,
     FromScheduler,
-    GiveUp,
     LinkLost,
     LinkUp,
     NoteFinished,
     NoteProgress,
     NoteStarted,
+    RejectDemand,
     Reply,
     SetMembers,
     SetTables,
@@ -40,7 +40,7 @@
 from fulmarroad._follower import Follower
 from fulmarroad._following import Ask, Decision, Granted, Rejected, SendTo
 from fulmarroad._grpc import Outbox, PeerStream, TrafficCount
-from fulmarroad._questions import PeerAddress
+from fulmarroad._peer_client import PeerAddress
 from fulmarroad._roles import RoleOutput, Roles, ToFollower
 from fulmarroad.audit import AuditTrail, Subject
 from fulmarroad.events import Event, emit
@@ -186,7 +186,7 @@
         if self._replies.pop(command.demand_id, None) is not None:
             self._apply_decisions(self._follower.withdraw(command.demand_id, now), now)
 
-    def _give_up(self, command: GiveUp, now: float) -> None:
+    def _reject_demand(self, command: RejectDemand, now: float) -> None:
         demand_id = command.rejection.demand_id
         if demand_id in self._replies:
             self._apply_decisions(self._follower.withdraw(demand_id, now), now)
@@ -379,7 +379,7 @@
         stream = self._dial(peer, address)
         outbox = Outbox(self._traffic)
 
-        def on_up() -> None:
+        def on_connected() -> None:
             link.outbox = outbox
             self.send_command(LinkUp(peer))
 
@@ -388,7 +388,7 @@
                 await stream.attach(
                     outbox,
                     lambda message: self._on_scheduler_message(peer, message),
-                    on_up,
+                    on_connected,
                 )
         except TransportError as error:
             emit(logger, Event.LINK_LOST, peer=peer, cause=str(error))
@@ -407,7 +407,7 @@
     _HANDLERS: Mapping[type, Callable[..., None]] = {
         Submit: _submit,
         Cancel: _cancel,
-        GiveUp: _give_up,
+        RejectDemand: _reject_demand,
         NoteStarted: _note_started,
         NoteProgress: _note_progress,
         NoteFinished: _note_finished,
--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -289,7 +289,7 @@
         rows = self._remote.values()
         return [row for row in rows if row.active_until > now and not row.waiting]
 
-    def ahead(self) -> int:
+    def demands_ahead(self) -> int:
         """Return how many demands are served before that of a new workspace.
 
         A new workspace starts at the least counter, so each backlogged workspace is
--- a/packages/fulmarroad/src/fulmarroad/_follower.py
+++ b/packages/fulmarroad/src/fulmarroad/_follower.py
@@ -169,7 +169,7 @@
         gap_s: float | None = None,
     ) -> None:
         """Add service used by a lease, to be sent with the next progress report."""
-        self._running.use(lease_id, service, first_s, gap_s)
+        self._running.add_service(lease_id, service, first_s, gap_s)
 
     def finished(self, report: m.Finished, now: float) -> list[Decision]:
         """Remove a running lease and report its end to its scheduler."""
--- a/packages/fulmarroad/src/fulmarroad/_grpc.py
+++ b/packages/fulmarroad/src/fulmarroad/_grpc.py
@@ -105,7 +105,7 @@
         self,
         outbox: Outbox,
         on_message: Callable[[Any], None],
-        on_up: Callable[[], None],
+        on_connected: Callable[[], None],
     ) -> None:
         """Exchange messages until the stream ends; raise `TransportError` then."""
 
@@ -337,7 +337,7 @@
         self,
         outbox: Outbox,
         on_message: Callable[[Any], None],
-        on_up: Callable[[], None],
+        on_connected: Callable[[], None],
     ) -> None:
         """Exchange messages until the stream ends; raise `TransportError` then."""
         self._raise_if_cut()
@@ -345,7 +345,7 @@
             with anyio.fail_after(CONNECT_TIMEOUT_S):
                 await self._channel.channel_ready()
             call = self._attach(outbox.frames(), metadata=self._metadata)
-            on_up()
+            on_connected()
             async for frame in call:
                 self._raise_if_cut()
                 self._traffic.count_received(len(frame))
--- a/packages/fulmarroad/src/fulmarroad/_keygroup.py
+++ b/packages/fulmarroad/src/fulmarroad/_keygroup.py
@@ -25,8 +25,8 @@
     decide_start,
 )
 from fulmarroad._messages import (
-    KeyCopyGiven,
-    KeyCopyWanted,
+    KeyCopyReply,
+    KeyCopyRequest,
     KeyFence,
     KeyFinish,
     KeyRecorded,
@@ -58,8 +58,8 @@
 COPY_INTERVAL_S = 1.0
 """Interval between two tries to copy records from members that have not sent them."""
 
-KeyMessage = KeyStart | KeyFence | KeyFinish | KeyCopyWanted
-KeyReply = KeyRecorded | KeyCopyGiven
+KeyMessage = KeyStart | KeyFence | KeyFinish | KeyCopyRequest
+KeyReply = KeyRecorded | KeyCopyReply
 AskMember = Callable[[RouterName, Any], Awaitable[Any]]
 
 
@@ -236,7 +236,7 @@
                 return self._store.fence(message, now)
             case KeyFinish():
                 return self._store.finish(message, now)
-            case KeyCopyWanted():
+            case KeyCopyRequest():
                 return self._store.serve_copy(message, now)
 
     async def run_copying(self) -> None:
@@ -261,9 +261,9 @@
         after = ""
         while True:
             centre, own_name = self._identity.data_centre, self._identity.router
-            request = KeyCopyWanted(centre, after, asker=own_name, vms=vms)
+            request = KeyCopyRequest(centre, after, asker=own_name, vms=vms)
             page = await self._request_reply(router, request)
-            if not isinstance(page, KeyCopyGiven) or not page.ready:
+            if not isinstance(page, KeyCopyReply) or not page.ready:
                 return
             self._store.merge_copy(router, vms, page, self._clocks.now())
             if not page.more:
--- a/packages/fulmarroad/src/fulmarroad/_keys.py
+++ b/packages/fulmarroad/src/fulmarroad/_keys.py
@@ -11,7 +11,6 @@
 
 from collections.abc import Callable, Collection
 
-from fulmarroad._keymemory import VotingEligibility
 from fulmarroad._keyrecords import (
     STATE_PRECEDENCE,
     KeyLimits,
@@ -22,8 +21,8 @@
 )
 from fulmarroad._keyverdict import COPIED, FULL, LONG_AGO, NO_MEMORY, OTHER_GROUP
 from fulmarroad._messages import (
-    KeyCopyGiven,
-    KeyCopyWanted,
+    KeyCopyReply,
+    KeyCopyRequest,
     KeyEntry,
     KeyFence,
     KeyFinish,
@@ -31,6 +30,7 @@
     KeyStart,
 )
 from fulmarroad._rendezvous import key_group
+from fulmarroad._voting_eligibility import VotingEligibility
 from fulmarroad.types import DataCentreName, RouterName
 
 UNKNOWN_AFTER_S = 900.0
@@ -94,17 +94,17 @@
             record = _after_run(known, asked)
         return self._records.put(name, record, now).to_reply()
 
-    def serve_copy(self, asked: KeyCopyWanted, now: float) -> KeyCopyGiven:
+    def serve_copy(self, asked: KeyCopyRequest, now: float) -> KeyCopyReply:
         """Return the records of the groups that the asker is also in."""
         self._records.expire(now)
         basis = self._eligibility.basis(now)
         if basis is None or frozenset(asked.vms) != self._eligibility.vms:
-            return KeyCopyGiven(False)
+            return KeyCopyReply(False)
         rows = self._shared_names(asked)
         page = rows[: asked.limit]
         entries = tuple(self._to_entry(name, now) for name in page)
         last = _cursor(page[-1]) if page else ""
-        return KeyCopyGiven(
+        return KeyCopyReply(
             True, entries, last, len(rows) > len(page), tuple(sorted(basis))
         )
 
@@ -112,7 +112,7 @@
         self,
         router: RouterName,
         vms: Collection[RouterName],
-        page: KeyCopyGiven,
+        page: KeyCopyReply,
         now: float,
     ) -> None:
         """Add a page of another member's records; the last page completes the copy."""
@@ -166,7 +166,7 @@
             return record.to_reply(LONG_AGO)
         return record.to_reply(COPIED if record.copied else "")
 
-    def _shared_names(self, asked: KeyCopyWanted) -> list[KeyName]:
+    def _shared_names(self, asked: KeyCopyRequest) -> list[KeyName]:
         names = (name for name, _ in self._records.items())
         later = (name for name in names if _cursor(name) > asked.after)
         vms = self._eligibility.vms
--- a/packages/fulmarroad/src/fulmarroad/_keyverdict.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyverdict.py
@@ -6,9 +6,9 @@
 
 from attrs import frozen
 
-from fulmarroad._keymemory import majority
 from fulmarroad._keyrecords import KeyState
 from fulmarroad._messages import KeyRecorded
+from fulmarroad._voting_eligibility import majority
 from fulmarroad.types import DataCentreName
 
 NO_MEMORY, OTHER_GROUP, FULL = "no_memory", "other_group", "full"
--- a/packages/fulmarroad/src/fulmarroad/_memory_network.py
+++ b/packages/fulmarroad/src/fulmarroad/_memory_network.py
@@ -11,7 +11,7 @@
 
 from fulmarroad._codec import decode
 from fulmarroad._grpc import CONNECT_TIMEOUT_S, Outbox, PeerHandler, TrafficCount
-from fulmarroad._questions import PeerAddress
+from fulmarroad._peer_client import PeerAddress
 from fulmarroad.exceptions import TransportError
 from fulmarroad.types import RouterName
 
@@ -108,14 +108,14 @@
         self,
         outbox: Outbox,
         on_message: Callable[[Any], None],
-        on_up: Callable[[], None],
+        on_connected: Callable[[], None],
     ) -> None:
         """Exchange messages until the stream ends; raise `TransportError` then."""
         network = self._network
         handler = await network._connect(self._me, self._peer)
         answers = Outbox(TrafficCount())
         handle = handler.on_attached(self._me, answers.put)
-        on_up()
+        on_connected()
         number = next(network._ids)
         try:
             async with anyio.create_task_group() as group:
--- a/packages/fulmarroad/src/fulmarroad/_messages.py
+++ b/packages/fulmarroad/src/fulmarroad/_messages.py
@@ -274,7 +274,7 @@
 
 
 @frozen
-class TablesWanted:
+class TablesRequest:
     """Ask a peer for its tables in force, without the parts that the asker holds."""
 
     above: int
@@ -282,7 +282,7 @@
 
 
 @frozen
-class TablesGiven:
+class TablesReply:
     """Return the manifest in force and the requested parts; empty if not newer."""
 
     version: int
@@ -353,7 +353,7 @@
 
 
 @frozen
-class KeyCopyWanted:
+class KeyCopyRequest:
     """Ask a group member for a page of the records of groups shared with the asker.
 
     `vms` are the data centre's VMs according to the asker's list.
@@ -377,7 +377,7 @@
 
 
 @frozen
-class KeyCopyGiven:
+class KeyCopyReply:
     """Return one page of records; `ready` is false while the sender may miss some.
 
     `basis` is the VM list for which the sender knows every key of its groups.
@@ -439,7 +439,7 @@
 
 
 @frozen
-class MembersWanted:
+class MembersRequest:
     """Ask a member for a page of its member list, of names sorted after `after`."""
 
     sequence: int
@@ -450,7 +450,7 @@
 
 
 @frozen
-class MembersGiven:
+class MembersReply:
     """Return a page of members that are not dead; the next one starts after `last`."""
 
     sequence: int
@@ -465,4 +465,4 @@
     Hello | Demand | Withdraw | Lend | Started | Progress | Finished | Goodbye
 )
 RouterMessage = Welcome | Grant | Move | Refuse | Heartbeat | StepDown
-MembershipMessage = Ping | PingRequest | Ack | MembersWanted | MembersGiven
+MembershipMessage = Ping | PingRequest | Ack | MembersRequest | MembersReply
--- a/packages/fulmarroad/src/fulmarroad/_packets.py
+++ b/packages/fulmarroad/src/fulmarroad/_packets.py
@@ -9,9 +9,9 @@
 from fulmarroad._membership_view import MembershipView
 from fulmarroad._messages import (
     Ack,
-    MembersGiven,
     MembershipMessage,
-    MembersWanted,
+    MembersReply,
+    MembersRequest,
     MemberUpdate,
     Ping,
     PingRequest,
@@ -104,7 +104,7 @@
         self, router: RouterName, after: RouterName, sequence: int
     ) -> list[Outgoing]:
         """Request a page of members."""
-        page_request = MembersWanted(
+        page_request = MembersRequest(
             sequence,
             self._view.me.router,
             self._version_tracker.own,
@@ -122,7 +122,7 @@
         more: bool,
     ) -> list[Outgoing]:
         """Send a page of members."""
-        response = MembersGiven(
+        response = MembersReply(
             sequence,
             self._view.me.router,
             self._version_tracker.own,
--- a/packages/fulmarroad/src/fulmarroad/_pages.py
+++ b/packages/fulmarroad/src/fulmarroad/_pages.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fulmarroad._membership_view import MembershipView
-from fulmarroad._messages import MembersGiven, MembersWanted
+from fulmarroad._messages import MembersReply, MembersRequest
 from fulmarroad._packets import Outgoing, PacketBuilder
 from fulmarroad._piggyback import MAX_UPDATE_BYTES, fit_updates, update_size
 
@@ -54,7 +54,7 @@
             for row in self._request_page(router)
         ]
 
-    def serve_page(self, request: MembersWanted) -> list[Outgoing]:
+    def serve_page(self, request: MembersRequest) -> list[Outgoing]:
         """Answer a page request with members that are not dead.
 
         An old dead state would only force its member to refute it, if that has returned
@@ -69,7 +69,7 @@
             request.sender, request.sequence, page, more=len(page) < len(names)
         )
 
-    def receive_page(self, response: MembersGiven, now: float) -> list[Outgoing]:
+    def receive_page(self, response: MembersReply, now: float) -> list[Outgoing]:
         """Process a page and request the next one until the sync is finished."""
         if response.sequence != self._awaited_sequence:
             return []
--- a/packages/fulmarroad/src/fulmarroad/_policies.py
+++ b/packages/fulmarroad/src/fulmarroad/_policies.py
@@ -67,7 +67,7 @@
         `learn` tells whether the cost also counts for the estimates of later demands.
         """
 
-    def ahead(self) -> int:
+    def demands_ahead(self) -> int:
         """Return how many demands would be served before one of a new workspace."""
 
     def forget_idle(self, now: float) -> None:
@@ -116,7 +116,7 @@
         super().__init__()
         self._queue: list[Waiting] = []
 
-    def ahead(self) -> int:
+    def demands_ahead(self) -> int:
         """Return the length of the queue."""
         return len(self._queue)
 
@@ -189,9 +189,9 @@
         self._router_by_demand[demand.demand_id] = router
         return self._queues.setdefault(router, FleetQueue()).add(demand, router, now)
 
-    def ahead(self) -> int:
+    def demands_ahead(self) -> int:
         """Return the number of backlogged workspaces, summed over all routers."""
-        return sum(queue.ahead() for queue in self._queues.values())
+        return sum(queue.demands_ahead() for queue in self._queues.values())
 
     def restore(self, waiting: Waiting, now: float) -> bool:
         """Queue a demand again at its router; return false if it is queued already."""
--- a/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
+++ b/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
@@ -67,7 +67,7 @@
         """
         self._has_new_peer = self._has_new_peer or not self._totals.knows(report.epoch)
         if self._totals.receive_report(report, now):
-            self._rebalancer.note(report, self._service_times.mean_s, now)
+            self._rebalancer.record_report(report, self._service_times.mean_s, now)
 
     def moves(self, now: float) -> list[Handover]:
         """Return the waiting demands to move, each with its target shard."""
@@ -141,4 +141,4 @@
             return False
         if pending_entries or self._has_new_peer:
             return True
-        return self._rebalancer.wanted_elsewhere(now) and bool(self._book.free(now))
+        return self._rebalancer.has_demand_elsewhere(now) and bool(self._book.free(now))
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -15,7 +15,7 @@
 
 from fulmarroad._fairqueue import Account, FleetQueue, Waiting
 from fulmarroad._messages import ServiceReport
-from fulmarroad._totals import MOVE_COSTS
+from fulmarroad._totals import MOVE_LAG_COSTS
 from fulmarroad.types import ShardId, WorkspaceName
 
 MAX_MOVES = 3
@@ -85,7 +85,7 @@
         self._shard = shard
         self._peers: dict[ShardId, PeerShard] = {}
 
-    def note(self, report: ServiceReport, mean_s: float, now: float) -> None:
+    def record_report(self, report: ServiceReport, mean_s: float, now: float) -> None:
         """Store the newest report of another shard and reset the quotas for it.
 
         `mean_s` is the mean duration of a request, in seconds.
@@ -109,7 +109,7 @@
             tuple(entry.workspace for entry in report.entries if entry.waiting),
         )
 
-    def wanted_elsewhere(self, now: float) -> bool:
+    def has_demand_elsewhere(self, now: float) -> bool:
         """Return whether another shard has demands that free units could serve."""
         return any(peer.waiting for peer in self._recent_peers(now))
 
@@ -203,7 +203,7 @@
         account: Account,
         levels: list[tuple[float, ShardId, PeerShard]],
     ) -> PeerShard | None:
-        threshold = MOVE_COSTS * queue.mean_cost / account.weight
+        threshold = MOVE_LAG_COSTS * queue.mean_cost / account.weight
         for level, _, peer in levels:
             if level <= account.counter + threshold:
                 return None
--- a/packages/fulmarroad/src/fulmarroad/_retries.py
+++ b/packages/fulmarroad/src/fulmarroad/_retries.py
@@ -82,7 +82,7 @@
         bucket = self._refill(pool, now)
         bucket.tokens = min(RETRY_BURST, bucket.tokens + RETRY_RATIO)
 
-    def may_retry(self, pool: PoolName, now: float) -> bool:
+    def take_retry(self, pool: PoolName, now: float) -> bool:
         """Take one retry from a pool's budget; return whether there was one."""
         bucket = self._refill(pool, now)
         if bucket.tokens < 1.0:
@@ -102,7 +102,7 @@
             return RetryDecision.TOO_MANY
         if attempt.remaining_s <= attempt.expected_s:
             return RetryDecision.NO_TIME
-        if not self.may_retry(pool, now):
+        if not self.take_retry(pool, now):
             return RetryDecision.BUDGET_SPENT
         return RetryDecision.RETRY
 
--- a/packages/fulmarroad/src/fulmarroad/_roles.py
+++ b/packages/fulmarroad/src/fulmarroad/_roles.py
@@ -70,7 +70,7 @@
     followers: set[RouterName] = field(factory=set)
     idle_since: float | None = None
     settled: bool = False
-    shares_lost: int = 0
+    units_taken_up: int = 0
 
 
 class Roles:
@@ -264,10 +264,10 @@
         if role.scheduler.settled and not role.settled:
             role.settled = True
             emit(logger, Event.ROLE_SETTLED, shard=shard)
-        lost, before = role.book.shares_lost, role.shares_lost
-        role.shares_lost = lost
-        if lost > 0 and before == 0:
-            emit(logger, Event.SHARES_TAKEN, shard=shard, units=lost)
+        count, before = role.book.units_taken_up, role.units_taken_up
+        role.units_taken_up = count
+        if count > 0 and before == 0:
+            emit(logger, Event.SHARES_TAKEN, shard=shard, units=count)
 
     def _record_warmth_change(self, change: WarmthChange) -> None:
         if change.after is Warmth.FAILING:
--- a/packages/fulmarroad/src/fulmarroad/_running.py
+++ b/packages/fulmarroad/src/fulmarroad/_running.py
@@ -39,7 +39,7 @@
         running = self._running.get(lease_id)
         return running.lease.shard if running is not None else None
 
-    def use(
+    def add_service(
         self, lease_id: str, service: float, first_s: float | None, gap_s: float | None
     ) -> None:
         """Add service that a lease used, and its latencies in seconds once known."""
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -179,19 +179,19 @@
         self,
         pool: Pool,
         servers: Sequence[BackendServer],
-        taking: Collection[ServerName],
+        available: Collection[ServerName],
         now: float,
     ) -> list[Send]:
         """Apply a change of the tables.
 
-        If no backend server of the shard accepts work (`taking` is empty), its waiting
-        demands are moved to other shards.
+        If no backend server of the shard accepts work (`available` is empty), its
+        waiting demands are moved to other shards.
         """
         self._granting.record_changes(
-            self._book.set_servers(pool, servers, taking, now)
+            self._book.set_servers(pool, servers, available, now)
         )
         if self._pool_reporter is not None:
-            self._pool_reporter.set_draining(not taking)
+            self._pool_reporter.set_draining(not available)
         return self._grant_free_units(now) + self._move_demands(now)
 
     def tick(self, now: float) -> list[Send]:
@@ -413,7 +413,7 @@
 
     def _wait_s(self, now: float) -> float:
         units = self._book.capacity(now)
-        return self._granting.service_times.wait_s(self._queue.ahead(), units)
+        return self._granting.service_times.wait_s(self._queue.demands_ahead(), units)
 
     def _clean_up(self, now: float) -> None:
         self._queue.forget_idle(now)
--- a/packages/fulmarroad/src/fulmarroad/_shardmap.py
+++ b/packages/fulmarroad/src/fulmarroad/_shardmap.py
@@ -95,7 +95,7 @@
 
         A data centre that returns to service takes a growing share of requests.
         """
-        return self._shift.takes(shard.data_centre, key, now)
+        return self._shift.accepts(shard.data_centre, key, now)
 
     def centre_state(self, data_centre: DataCentreName) -> CentreState:
         """Return the service state of a data centre."""
--- a/packages/fulmarroad/src/fulmarroad/_shifting.py
+++ b/packages/fulmarroad/src/fulmarroad/_shifting.py
@@ -132,7 +132,7 @@
         """Return whether a data centre accepts any new work."""
         return self.share(data_centre, now) > 0
 
-    def takes(self, data_centre: DataCentreName, key: str, now: float) -> bool:
+    def accepts(self, data_centre: DataCentreName, key: str, now: float) -> bool:
         """Return whether a data centre accepts one request, by the hash of its id.
 
         A request that is accepted at one share is accepted at every higher one.
--- a/packages/fulmarroad/src/fulmarroad/_slots.py
+++ b/packages/fulmarroad/src/fulmarroad/_slots.py
@@ -100,11 +100,11 @@
         )
         self._servers: dict[ServerName, _Server] = {}
         self._leases: dict[str, _Lease] = {}
-        taking = [server.name for server in servers]
-        self.set_servers(pool, servers, taking, now)
+        available = [server.name for server in servers]
+        self.set_servers(pool, servers, available, now)
 
     @property
-    def shares_lost(self) -> int:
+    def units_taken_up(self) -> int:
         """Return how many units of lost routers are in use without a lending."""
         return sum(server.taken_up for server in self._servers.values())
 
@@ -112,12 +112,12 @@
         self,
         pool: Pool,
         servers: Sequence[BackendServer],
-        taking: Collection[ServerName],
+        available: Collection[ServerName],
         now: float,
     ) -> tuple[WarmthChange, ...]:
-        """Apply a table change; a server that is not in `taking` gets no new work.
+        """Apply a table change; a server that is not in `available` gets no new work.
 
-        A server that returns to `taking` starts cold, because its state may have
+        A server that returns to `available` starts cold, because its state may have
         changed unobserved.
         """
         self._pool = pool
@@ -127,7 +127,7 @@
             if known is None:
                 known = self._servers[name] = _Server(self._new_health(name))
             known.health.set_pool(pool)
-            takes_work = name in taking
+            takes_work = name in available
             if takes_work and not known.takes_work:
                 changes += known.health.reset_to_cold("taken into service")
             known.takes_work = takes_work
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -15,9 +15,9 @@
 from fulmarroad._membership_view import MembershipView
 from fulmarroad._messages import (
     Ack,
-    MembersGiven,
     MembershipMessage,
-    MembersWanted,
+    MembersReply,
+    MembersRequest,
     MemberUpdate,
     Ping,
     PingRequest,
@@ -147,7 +147,7 @@
 
     def hint(self, vms: Collection[VmEntry], now: float) -> list[Outgoing]:
         """Use a VM list as a hint which VMs to probe."""
-        changed = self._view.vm_list.offer(vms)
+        changed = self._view.vm_list.replace(vms)
         if not changed or self._view.others():
             return []
         return self._probe_unreachable(FANOUT)
@@ -192,7 +192,7 @@
             return []
         if isinstance(message, Ping) and message.target != self.me.router:
             return []  # this VM reuses the address of a VM that was removed
-        propagate = not isinstance(message, MembersGiven)
+        propagate = not isinstance(message, MembersReply)
         for update in message.updates:
             self._view.merge_update(update, now, propagate=propagate)
         self._version_tracker.record_version(message.sender, message.table_version)
@@ -209,9 +209,9 @@
                 return self._relay_probe(message, now)
             case Ack():
                 return self._handle_ack(message)
-            case MembersWanted():
+            case MembersRequest():
                 return self._pages.serve_page(message)
-            case MembersGiven():
+            case MembersReply():
                 return self._pages.receive_page(message, now)
 
     def _reset_after_pause(self, now: float) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -31,7 +31,7 @@
 MAX_ENTRIES = 64
 """Entries per report; the next one sends the rest, the largest change first."""
 
-MOVE_COSTS = 2.0
+MOVE_LAG_COSTS = 2.0
 """Lag, in request costs, from which demands of a workspace move to another shard.
 
 A lag of one cost is normal between two grants. At two, the next grant of the other
@@ -131,8 +131,8 @@
     - `4 * rate * (interval_s + delay_s)`: service by other schedulers that is not
       reported yet, for both workspaces; once more for counters seeded at different
       times, and once more until demands have moved.
-    - `(units + MOVE_COSTS) * largest_cost`: leases granted before the first report of
-      a workspace arrived, and the lag below which demands don't move.
+    - `(units + MOVE_LAG_COSTS) * largest_cost`: leases granted before the first report
+      of a workspace arrived, and the lag below which demands don't move.
 
     The last two are left out if the pool has one shard.
 
@@ -144,7 +144,7 @@
     if shards <= 1:
         return grants / min_weight
     unreported = 4 * rate * (interval_s + delay_s)
-    moves = (units + MOVE_COSTS) * largest_cost
+    moves = (units + MOVE_LAG_COSTS) * largest_cost
     return (grants + unreported + moves) / min_weight
 
 
@@ -216,7 +216,7 @@
 
     def pending_entries(self, now: float) -> int:
         """Return how many workspaces the next report would contain without a limit."""
-        return self._queue.ahead() + len(self._unreported_remote(now))
+        return self._queue.demands_ahead() + len(self._unreported_remote(now))
 
     def forget(self, now: float) -> None:
         """Drop sums that were received or sent more than `FORGET_S` ago."""
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -42,7 +42,7 @@
         """Return the entries of the current list."""
         return self._entries.values()
 
-    def offer(self, entries: Collection[VmEntry]) -> bool:
+    def replace(self, entries: Collection[VmEntry]) -> bool:
         """Replace the list; return whether anything changed.
 
         An empty list is ignored. It must be wrong, as this router is itself a VM, and
--- a/packages/fulmarroad/src/fulmarroad/coordination.py
+++ b/packages/fulmarroad/src/fulmarroad/coordination.py
@@ -2,10 +2,10 @@
 
 from fulmarroad._commands import (
     Cancel,
-    GiveUp,
     NoteFinished,
     NoteProgress,
     NoteStarted,
+    RejectDemand,
     SetMembers,
     SetTables,
     SetVms,
@@ -24,7 +24,7 @@
     Rejected,
     SendTo,
 )
-from fulmarroad._questions import PeerAddress, PeerClient
+from fulmarroad._peer_client import PeerAddress, PeerClient
 from fulmarroad._roles import RoleOutput, Roles, ToFollower, ToSchedulers
 
 __all__ = [
@@ -35,7 +35,7 @@
     "Follow",
     "FollowChange",
     "Follower",
-    "GiveUp",
+    "RejectDemand",
     "Granted",
     "Lease",
     "NoteFinished",
--- a/packages/fulmarroad/src/fulmarroad/exceptions.py
+++ b/packages/fulmarroad/src/fulmarroad/exceptions.py
@@ -13,7 +13,7 @@
         self.message = message
         self.hint = hint
 
-    def show(self) -> str:
+    def format_message(self) -> str:
         """Return the message and the hint as text for a terminal or a log."""
         if self.hint:
             return f"{self.message}\n  {self.hint}"
@@ -42,7 +42,7 @@
         super().__init__(message, hint=hint)
         self.problems = problems
 
-    def show(self) -> str:
+    def format_message(self) -> str:
         """Return the message, one line per problem, and the hint."""
         lines = [self.message, *(f"  - {problem}" for problem in self.problems)]
         if self.hint:
--- a/packages/fulmarroad/src/fulmarroad/keys.py
+++ b/packages/fulmarroad/src/fulmarroad/keys.py
@@ -14,7 +14,6 @@
     Replay,
     SendOnce,
 )
-from fulmarroad._keymemory import VotingEligibility
 from fulmarroad._keyrecords import MAX_BODY_BYTES, KeyLimits, KeyRecords, KeyState
 from fulmarroad._keys import KeyStore
 from fulmarroad._keyverdict import (
@@ -30,6 +29,7 @@
     decide_fence,
     decide_start,
 )
+from fulmarroad._voting_eligibility import VotingEligibility
 
 __all__ = [
     "MAX_BODY_BYTES",
--- a/packages/fulmarroad/tests/scheduling/test_scheduling.py
+++ b/packages/fulmarroad/tests/scheduling/test_scheduling.py
@@ -60,7 +60,9 @@
         assert pool.wait_times("steady")[-1] <= 2 * COST / 100
 
     @pytest.mark.parametrize(("policy", "share"), [("local", 0.25), ("fifo", 0.1)])
-    def test_few_heavy_workspaces_crowd_nobody_out(self, virtual_pool, policy, share):
+    def test_a_heavy_workspace_does_not_reduce_the_share_of_small_ones(
+        self, virtual_pool, policy, share
+    ):
         """One workspace floods every router, and two small ones send through one router
         each. Under the baseline policies the large one gets much more service."""
         gaps = {}
@@ -164,7 +166,9 @@
         assert ran_at_most_once(pool)
         assert pool.gap("a", "b") <= fairness_bound(pool) + 2 * COST * 16
 
-    def test_one_that_misses_a_router_holds_its_share_back(self, virtual_pool):
+    def test_a_new_scheduler_leaves_the_share_of_a_missing_router_free(
+        self, virtual_pool
+    ):
         """A scheduler is replaced while one router of three cannot reach the new one
         and its requests continue. Until its hello arrives, its even share of the units
         must stay free, or servers would run more requests than their limit."""
@@ -196,7 +200,9 @@
         assert ends == sorted(ends)
 
     @pytest.mark.parametrize("seconds", [0.2, 3.0])
-    def test_a_paused_one_that_wakes_late_starts_nothing(self, virtual_pool, seconds):
+    def test_grants_of_a_scheduler_replaced_during_a_pause_are_not_started(
+        self, virtual_pool, seconds
+    ):
         """A scheduler is replaced during a pause. When it resumes it reads that some
         requests ended and grants their units; no router may start those grants. After
         three seconds all lendings to it have expired, so it grants nothing."""
@@ -240,7 +246,7 @@
         assert ran_at_most_once(pool)
 
 
-class TestCut:
+class TestPartition:
     def sides(self, pool):
         return lambda source, target: source.data_centre != target.data_centre
 
@@ -289,12 +295,12 @@
         assert ran_at_most_once(pool)
 
 
-class TestAnyOrder:
+class TestRandomFaults:
     """Reports are lost, duplicated and reordered, streams break, and schedulers are
     replaced or paused, in any order. No request may be lost or run twice, and no unit
     may run two requests at a time."""
 
-    def test_nothing_is_doubled_or_lost(self, virtual_pool):
+    def test_every_request_runs_exactly_once_under_random_faults(self, virtual_pool):
         class Faults(RuleBasedStateMachine):
             @initialize(seed=st.integers(0, 1000))
             def build(self, seed):
--- a/packages/fulmarroad/tests/test_acceptance.py
+++ b/packages/fulmarroad/tests/test_acceptance.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from fulmarroad.messages import TablesGiven
+from fulmarroad.messages import TablesReply
 from fulmarroad.tables import (
     TableName,
     TableStore,
@@ -55,7 +55,9 @@
 
     @rule(asker=NODES, peer=NODES)
     def ask_peer(self, asker, peer):
-        self.in_flight.append((asker, self.stores[peer].give(self.wanted(asker))))
+        self.in_flight.append(
+            (asker, self.stores[peer].make_reply(self.make_request(asker)))
+        )
 
     @rule(data=st.data(), duplicate=st.booleans())
     def deliver_message(self, data, duplicate):
@@ -76,7 +78,7 @@
         parts = {sha: raw[::-1] for sha, raw in reply.parts.items()}
         self.in_flight[index] = (
             asker,
-            TablesGiven(reply.version, reply.manifest, parts),
+            TablesReply(reply.version, reply.manifest, parts),
         )
 
     @rule()
@@ -91,12 +93,12 @@
         self.stores[node] = TableStore()
         self.highest[node] = 0
         self.content[node] = None
-        reply = self.stores[peer].give(self.wanted(node))
+        reply = self.stores[peer].make_reply(self.make_request(node))
         self.receive(node, reply)
         assert self.stores[node].version == self.stores[peer].version
 
-    def wanted(self, node):
-        return self.stores[node].wanted()
+    def make_request(self, node):
+        return self.stores[node].make_request()
 
     def receive(self, node, reply):
         if reply.manifest:
--- a/packages/fulmarroad/tests/test_admission.py
+++ b/packages/fulmarroad/tests/test_admission.py
@@ -119,7 +119,7 @@
         # is refused only near its deadline has no time left to use another service.
         admission = Admission()
         submit(admission, Workspace("coop"), 3)
-        admission.note_wait("drafting", 200.0)
+        admission.set_estimated_wait("drafting", 200.0)
         shed = admission.shed(0.5)
         assert len(shed) == 3
         assert {refusal.reason for _, refusal in shed} == {RefusalReason.WAIT_TOO_LONG}
@@ -129,7 +129,7 @@
     def test_slightly_longer_wait_sheds_nothing(self):
         admission = Admission()
         submit(admission, Workspace("coop"), 3)
-        admission.note_wait("drafting", 14.0)
+        admission.set_estimated_wait("drafting", 14.0)
         assert admission.shed(0.5) == ()
 
     def test_request_past_its_deadline_is_shed(self):
--- a/packages/fulmarroad/tests/test_configuration.py
+++ b/packages/fulmarroad/tests/test_configuration.py
@@ -171,7 +171,7 @@
             me=name,
             live=lambda: [n.name for n in self.nodes.values() if n.centre == centre],
             peers=lambda: [peer for peer in self.nodes if peer != name],
-            fetch_from_peer=lambda peer, wanted: self.fetch(name, peer, wanted),
+            fetch_from_peer=lambda peer, request: self.fetch(name, peer, request),
             on_tables=applied_tables.append,
             on_vm_list=lambda listing: None,
             audit=audit,
@@ -208,11 +208,11 @@
         centres = {self.nodes[one].centre, self.nodes[other].centre}
         return len(centres) == 1 or not centres & self.cut
 
-    async def fetch(self, asker, peer, wanted):
+    async def fetch(self, asker, peer, request):
         await anyio.sleep(0.003)
         if not self.can_reach(asker, peer):
             raise TransportError("cut off")
-        return self.nodes[peer].watcher.give(wanted)
+        return self.nodes[peer].watcher.make_reply(request)
 
     def versions(self):
         return {node.store.version for node in self.nodes.values()}
@@ -408,7 +408,7 @@
             service.publish(1)
             fleet.stop("n4")
             node = fleet.start("n4", "dc1")
-            await node.watcher.settled.wait()
+            await node.watcher.ready.wait()
             assert node.store.version == 2
 
         run_scenario(scenario)
@@ -430,9 +430,9 @@
             hidden = {name: fleet.nodes.pop(name) for name in others - {"n4"}}
             await anyio.sleep(1)
             assert node.store.version == 1
-            assert not node.watcher.settled.is_set()
+            assert not node.watcher.ready.is_set()
             fleet.nodes.update(hidden)
-            await node.watcher.settled.wait()
+            await node.watcher.ready.wait()
             assert node.store.version == 2
 
         run_scenario(scenario)
@@ -453,7 +453,7 @@
             fleet.stop("n4")
             node = fleet.start("n4", "dc1")
             with anyio.fail_after(2):
-                await node.watcher.settled.wait()
+                await node.watcher.ready.wait()
             assert node.store.version == 1
 
         run_scenario(scenario)
@@ -496,7 +496,7 @@
             fleet.stop("n2")
             node = fleet.start("n2", "dc2")
             with anyio.fail_after(10):
-                await node.watcher.settled.wait()
+                await node.watcher.ready.wait()
             assert node.store.version == 1
 
         run_scenario(scenario)
@@ -512,19 +512,19 @@
     @pytest.mark.parametrize("damage", ["parts", "manifest", "nothing"])
     def test_invalid_tables_of_a_peer_are_refused(self, monkeypatch, damage):
         asked = Counter()
-        give = TableStore.give
+        make_reply = TableStore.make_reply
 
-        def wrong(store, wanted):
+        def wrong(store, request):
             asked["times"] += 1
-            given = give(store, wanted)
-            parts = {sha: raw[::-1] for sha, raw in given.parts.items()}
+            reply = make_reply(store, request)
+            parts = {sha: raw[::-1] for sha, raw in reply.parts.items()}
             if damage == "manifest":
-                return evolve(given, manifest=b"version = ")
-            return evolve(given, parts=parts if damage == "parts" else {})
+                return evolve(reply, manifest=b"version = ")
+            return evolve(reply, parts=parts if damage == "parts" else {})
 
         async def scenario(fleet, service):
             service.down = True
-            monkeypatch.setattr(TableStore, "give", wrong)
+            monkeypatch.setattr(TableStore, "make_reply", wrong)
             fleet.stop("n4")
             node = fleet.start("n4", "dc1")
             await anyio.sleep(10)
@@ -546,7 +546,7 @@
         async def scenario(fleet, service):
             with anyio.fail_after(4):
                 for node in fleet.nodes.values():
-                    await node.watcher.settled.wait()
+                    await node.watcher.ready.wait()
 
         run_scenario(scenario)
 
@@ -555,7 +555,7 @@
             async with anyio.create_task_group() as group:
                 fleet = Fleet(group, FakeService(), centres=1, size=1)
                 await anyio.sleep(30)
-                assert not fleet.nodes["n0"].watcher.settled.is_set()
+                assert not fleet.nodes["n0"].watcher.ready.is_set()
                 group.cancel_scope.cancel()
 
         run_virtually(main)
--- a/packages/fulmarroad/tests/test_events.py
+++ b/packages/fulmarroad/tests/test_events.py
@@ -85,9 +85,9 @@
         roles.set_live({"dc": ("a", "b", "c")}, 0.0)
         roles.handle("a", Hello(shard, "a", 1, "dc", 0.0), 0.0)
         roles.tick(1.0)
-        book = roles.held[shard].book = SimpleNamespace(shares_lost=0)
+        book = roles.held[shard].book = SimpleNamespace(units_taken_up=0)
         for lost in (0, 1, 2):
-            book.shares_lost = lost
+            book.units_taken_up = lost
             roles.tick(2.0 + lost)
         events = [record.event for record in caplog.records if record.event != 400]
         assert events == [310, 311, 412]
--- a/packages/fulmarroad/tests/test_gossip.py
+++ b/packages/fulmarroad/tests/test_gossip.py
@@ -205,4 +205,4 @@
     def test_rejects_messages_of_other_kinds(self):
         seal = PacketSeal(SECRET)
         with pytest.raises(MessageError, match="no membership"):
-            seal.open(seal.seal(messages.TablesWanted(1)))
+            seal.open(seal.seal(messages.TablesRequest(1)))
--- a/packages/fulmarroad/tests/test_hostile_tables.py
+++ b/packages/fulmarroad/tests/test_hostile_tables.py
@@ -56,7 +56,7 @@
     try:
         return parse(*arguments)
     except ConfigurationError as error:
-        return error.show()
+        return error.format_message()
 
 
 class TestHostileInput:
--- a/packages/fulmarroad/tests/test_keys.py
+++ b/packages/fulmarroad/tests/test_keys.py
@@ -171,7 +171,7 @@
 def copy_records(source, target, vms=VMS, asker="a", page_size=1):
     after = ""
     while True:
-        asked = messages.KeyCopyWanted("fes-1", after, page_size, asker, tuple(vms))
+        asked = messages.KeyCopyRequest("fes-1", after, page_size, asker, tuple(vms))
         page = source.serve_copy(asked, 1.0)
         target.merge_copy(source._me, vms, page, 1.0)
         if not page.more:
--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -26,7 +26,7 @@
 
 
 def page(*updates):
-    return messages.MembersGiven(0, "giver", 0, updates)
+    return messages.MembersReply(0, "giver", 0, updates)
 
 
 class Fleet:
@@ -115,7 +115,7 @@
         return [(by, row.router) for by, row in self.changes if row.after is DEAD]
 
 
-class TestFailure:
+class TestFailureDetection:
     @pytest.mark.parametrize("count", [2, 3, 5, 9])
     @pytest.mark.parametrize("seed", range(5))
     def test_failed_vm_is_declared_dead_by_all_within_seconds(self, count, seed):
@@ -136,7 +136,7 @@
         assert fleet.run(until=seen) < 2.1
 
     @pytest.mark.parametrize("seed", range(3))
-    def test_lost_packets_kill_nobody(self, seed):
+    def test_lost_packets_cause_no_deaths(self, seed):
         # A tenth of all packets is lost for two minutes. A VM that is declared dead
         # loses its schedulers, which are rebuilt on other VMs while callers wait.
         fleet = Fleet(9, seed, loss=0.1)
@@ -151,7 +151,7 @@
         fleet.run(60)
         assert fleet.changes == []
 
-    def test_a_leaving_vm_gets_no_roles_and_never_returns_to_alive(self):
+    def test_leaving_vm_gets_no_roles_and_never_becomes_alive_again(self):
         # A drained VM keeps running for a while before it stops.
         fleet = Fleet(9)
         fleet.run(5)
@@ -166,8 +166,8 @@
         assert states == {LEAVING, DEAD}
 
 
-class TestReturn:
-    def test_a_paused_process_accuses_nobody_when_it_wakes(self):
+class TestRecovery:
+    def test_resumed_process_suspects_no_member(self):
         # A VM is frozen for ten seconds during a probe and resumes with all timers
         # expired. It must not declare the other VMs dead, which would cost them their
         # roles.
@@ -184,7 +184,7 @@
         assert changed == {"r1"}
         assert fleet.swims["r1"].me.incarnation == 2
 
-    def test_a_probe_open_before_a_pause_accuses_nobody(self):
+    def test_probe_sent_before_a_pause_causes_no_suspicion(self):
         # A process pauses right after sending a probe. The answer is still in its
         # socket's buffer when it resumes.
         swim = Swim(update("r0"), seed=1, now=0.0)
@@ -219,7 +219,7 @@
         assert fleet.swims["r0"].live() == ("r0",)
 
     @pytest.mark.parametrize(("count", "length"), [(2, 20), (9, 60), (9, 600)])
-    def test_halves_find_each_other_after_a_partition(self, count, length):
+    def test_halves_rejoin_after_a_partition(self, count, length):
         # During a partition both halves declare each other dead. When the network
         # recovers, the VM list is unavailable.
         fleet = Fleet(count)
@@ -230,7 +230,7 @@
         fleet.cut = lambda one, other: False
         assert fleet.run(until=fleet.all_live) < 15
 
-    def test_old_gossip_raises_no_dead(self):
+    def test_outdated_gossip_does_not_revive_a_dead_vm(self):
         # A process resumes after hours and still spreads that a replaced VM is alive.
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.handle(page(update("r1", 5)), 0.0)
@@ -279,7 +279,7 @@
         assert swim.live("fes-1") == ("r0", "r2")
         assert swim.vm_list.published() == ("r0", "r1")
 
-    def test_an_empty_list_is_not_believed(self):
+    def test_empty_list_is_ignored(self):
         swim = Swim(update("r0"), seed=1, now=0.0)
         swim.hint([entry("r0"), entry("r1")], 0.0)
         swim.hint([], 1.0)
@@ -301,8 +301,8 @@
             row = messages.MemberUpdate(name, 2**50, SUSPECT, "c" * 64, "h" * 64, 1, 1)
             ping = messages.Ping(1, name, 2**50, 2**40, (row,), "r" * 64)
             swim.handle(ping, 0.0)
-        wanted = messages.MembersWanted(1, names[0], 0)
-        out = swim.handle(wanted, 0.0) + swim.probe_now(names[1], 0.0)
+        request = messages.MembersRequest(1, names[0], 0)
+        out = swim.handle(request, 0.0) + swim.probe_now(names[1], 0.0)
         sizes = [len(messages.encode(row.message)) for row in out]
         assert len(sizes) == 2
         assert 900 < max(sizes) <= PACKET_BYTES - 16
@@ -325,7 +325,7 @@
 
 
 class TestVersions:
-    def test_a_new_version_reaches_370_routers_within_5_s(self):
+    def test_new_version_reaches_370_routers_within_two_seconds(self):
         # An operator publishes a change and one router reads it. Each other router
         # needs 0.1 s to fetch it from the router that announced it.
         fleet = Fleet(370)
@@ -368,7 +368,7 @@
 NODES = st.sampled_from([f"r{index}" for index in range(4)])
 
 
-class AnyOrderOfFaults(RuleBasedStateMachine):
+class RandomFaults(RuleBasedStateMachine):
     """Apply network faults, pauses, restarts, partitions and drains, then end all.
 
     After any such sequence, no router may still consider a VM dead that runs and is
@@ -450,7 +450,7 @@
             assert DEAD not in {row.state for row in swim.members().values()}
 
 
-AnyOrderOfFaults.TestCase.settings = settings(
+RandomFaults.TestCase.settings = settings(
     derandomize=True, deadline=None, max_examples=40, stateful_step_count=20
 )
-TestAnyOrderOfFaults = AnyOrderOfFaults.TestCase
+TestRandomFaults = RandomFaults.TestCase
--- a/packages/fulmarroad/tests/test_messages.py
+++ b/packages/fulmarroad/tests/test_messages.py
@@ -21,7 +21,7 @@
             messages.Hello(SHARD, "router-a", 17, "fes-1", 3.5),
             messages.Grant(SHARD, EPOCH, "l1", "d1", Unit("s1", 3), 3.5, 1.0),
             messages.Finished(SHARD, "l1", Outcome.COMPLETED, 12.5, 0.2, None),
-            messages.TablesGiven(3, b"manifest", {"ab": b"\x00\xff"}),
+            messages.TablesReply(3, b"manifest", {"ab": b"\x00\xff"}),
         ],
     )
     def test_decoded_message_equals_the_encoded_one(self, message):
--- a/packages/fulmarroad/tests/test_retries.py
+++ b/packages/fulmarroad/tests/test_retries.py
@@ -19,7 +19,7 @@
 def drain(budget, pool, now):
     """Use up the retry budget of a pool."""
     retries = 0
-    while budget.may_retry(pool, now):
+    while budget.take_retry(pool, now):
         retries += 1
         assert retries < 100, "the budget is not limited"
 
@@ -53,18 +53,18 @@
         for hour in range(20):
             now = 3600.0 * hour
             budget.note_request("ledger", now)
-            assert budget.may_retry("ledger", now)
+            assert budget.take_retry("ledger", now)
 
     def test_each_pool_has_its_own_budget(self):
         budget = RetryBudget()
         drain(budget, "drafting", 0.0)
-        assert budget.may_retry("ledger", 0.0)
+        assert budget.take_retry("ledger", 0.0)
 
     def test_stopped_or_backward_clock_adds_no_retries(self):
         budget = RetryBudget()
         drain(budget, "drafting", 100.0)
-        assert not budget.may_retry("drafting", 50.0)
-        assert not budget.may_retry("drafting", 100.0)
+        assert not budget.take_retry("drafting", 50.0)
+        assert not budget.take_retry("drafting", 100.0)
 
 
 class TestRetryDecision:
--- a/packages/fulmarroad/tests/test_running.py
+++ b/packages/fulmarroad/tests/test_running.py
@@ -23,9 +23,9 @@
 
 class TestReports:
     def test_service_is_reported_once_and_by_shard(self, leases):
-        leases.use("l-1", 5.0, None, None)
-        leases.use("l-1", 7.0, 0.2, 0.05)
-        leases.use("l-3", 1.0, None, None)
+        leases.add_service("l-1", 5.0, None, None)
+        leases.add_service("l-1", 7.0, 0.2, 0.05)
+        leases.add_service("l-3", 1.0, None, None)
         rows = {row.shard: row.leases for row in leases.report(10.0)}
         assert [(u.lease_id, u.service, u.first_s) for u in rows[HERE]] == [
             ("l-1", 12.0, 0.2)
@@ -34,15 +34,15 @@
         assert leases.report(100.0) == []
 
     def test_reports_are_sent_at_the_report_interval(self, leases):
-        leases.use("l-1", 5.0, None, None)
+        leases.add_service("l-1", 5.0, None, None)
         assert leases.report(10.0)
-        leases.use("l-1", 5.0, None, None)
+        leases.add_service("l-1", 5.0, None, None)
         assert leases.report(10.01) == []
         assert leases.report(100.0)
 
     def test_service_after_the_end_of_a_lease_is_ignored(self, leases):
         leases.end("l-1")
-        leases.use("l-1", 5.0, None, None)
+        leases.add_service("l-1", 5.0, None, None)
         assert leases.report(10.0) == []
         assert leases.shard_of("l-1") is None
         assert len(leases) == 2
@@ -51,9 +51,9 @@
         """A new scheduler has no state of its predecessor. Service that is missing from
         the snapshot it gets would never be charged to the workspace.
         """
-        leases.use("l-1", 5.0, None, None)
+        leases.add_service("l-1", 5.0, None, None)
         leases.report(10.0)
-        leases.use("l-1", 2.0, None, None)
+        leases.add_service("l-1", 2.0, None, None)
         charged = {row.lease_id: row.charged for row in leases.snapshot(HERE, 11.0)}
         assert charged == {"l-1": 7.0, "l-2": 0.0}
         assert leases.report(100.0) == []
--- a/packages/fulmarroad/tests/test_scheduler.py
+++ b/packages/fulmarroad/tests/test_scheduler.py
@@ -167,7 +167,7 @@
         lend(scheduler, "r2", 0.5, now=10.5)
         assert ask(scheduler, "d1", now=10.5) == []
 
-    def test_an_answer_read_late_lends_none_of_its_units(self):
+    def test_only_routers_with_a_new_answer_lend_units_after_a_pause(self):
         """After a pause one router has sent a new answer, and an old answer of the
         other one is still in the buffer. Only the units of the first may be granted."""
         granted = []
@@ -180,7 +180,7 @@
             granted.append(sum(len(row) for row in asked))
         assert 0 < granted[0] < granted[1] == 8
 
-    def test_an_answer_to_a_former_epoch_lends_nothing(self):
+    def test_an_answer_to_an_earlier_epoch_lends_nothing(self):
         scheduler = new_scheduler()
         scheduler.handle("r1", hello("r1"), 0.0)
         scheduler.handle("r2", hello("r2"), 0.0)
@@ -198,7 +198,7 @@
         assert len(ask(scheduler, "d2", router="r2", now=now)) == 1
 
 
-class TestUnstarted:
+class TestUnstartedLeases:
     def test_a_declined_grant_frees_its_unit_and_costs_nothing(self):
         scheduler = ready(units=1)
         (grant,) = ask(scheduler, "d1")
@@ -206,7 +206,7 @@
         assert scheduler.running == 0
         assert len(ask(scheduler, "d2")) == 1
 
-    def test_it_is_reclaimed_only_when_it_can_no_longer_start(self):
+    def test_an_unstarted_lease_is_reclaimed_only_after_its_start_window(self):
         scheduler = ready(units=1)
         (grant,) = ask(scheduler, "d1")
         assert not messages_of(lend(scheduler, "r1", START_WINDOW_S - 0.1), Grant)
@@ -243,7 +243,7 @@
         scheduler.link_lost("r1", 0.2)
         assert scheduler.waiting == 0
 
-    def test_its_next_hello_tells_which_leases_go_on(self):
+    def test_leases_missing_from_the_next_hello_are_ended(self):
         scheduler = ready()
         (one,) = ask(scheduler, "d1")
         (two,) = ask(scheduler, "d2")
@@ -257,7 +257,7 @@
         scheduler.handle("r1", finished(one.lease_id), 0.4)
         assert scheduler.running == 0
 
-    def test_a_late_hello_ends_nothing(self):
+    def test_a_stale_hello_ends_no_lease(self):
         scheduler = ready()
         ask(scheduler, "d1")
         scheduler.handle("r1", hello("r1", 0.0), 0.3)
@@ -283,7 +283,7 @@
         (grant,) = messages_of(scheduler.handle("r1", finished("old.1"), 0.2), Grant)
         assert grant.demand_id == "d1"
 
-    def test_until_all_routers_are_heard_their_share_is_held_back(self):
+    def test_the_share_of_a_router_without_a_hello_stays_free(self):
         """A new scheduler has a hello from one router of two. It knows the leases that
         this router holds on the other one's units. It does not know the leases of the
         other router, which may be on units that are lent here, so it must leave that
@@ -327,7 +327,7 @@
         assert scheduler.report(9.0) is None
 
 
-class TestHopeless:
+class TestDeadlines:
     @pytest.mark.parametrize("left", [0.0, -1.0, float("nan")])
     def test_a_demand_past_its_deadline_is_refused_at_once(self, left):
         scheduler = ready()
@@ -428,7 +428,7 @@
 class TestGrantValid:
     GRANT = Grant(SHARD, EPOCH, "l", "d", Unit("s1", 0), 5.0, 1.0)
 
-    def test_from_before_the_last_hello_it_is_refused(self):
+    def test_a_grant_from_before_the_last_hello_is_refused(self):
         """A stream breaks and is reopened. The hello does not list a grant that is
         still in transit, so the scheduler grants its unit to another demand."""
         assert grant_valid(self.GRANT, EPOCH, 5.5, 5.0)
@@ -441,6 +441,8 @@
         ("following", "clock"),
         [(None, 5.0), (Epoch("r2", 1, 1), 5.0), (Epoch("r1", 1, 2), 5.0), (EPOCH, 6.0)],
     )
-    def test_late_or_from_another_scheduler_it_is_refused(self, following, clock):
+    def test_a_late_grant_or_one_from_another_scheduler_is_refused(
+        self, following, clock
+    ):
         """A scheduler replaced during a pause still grants units when it resumes."""
         assert not grant_valid(self.GRANT, following, clock)
--- a/packages/fulmarroad/tests/test_shifting.py
+++ b/packages/fulmarroad/tests/test_shifting.py
@@ -42,7 +42,7 @@
         [change] = shift.update(tables("fes-1"), 5.0)
         assert (change.before, change.after) == (CentreState.IN, CentreState.OUT)
         assert not shift.takes_work("fes-1", 5.0)
-        assert not any(shift.takes("fes-1", f"r{n}", 5.0) for n in range(200))
+        assert not any(shift.accepts("fes-1", f"r{n}", 5.0) for n in range(200))
 
     def test_returning_data_centre_ramps_up_within_the_time_limit(self):
         # A data centre returns with cold servers. If every router sent it a full share
@@ -63,8 +63,8 @@
         shift.update(tables("fes-1"), 1.0)
         shift.update(tables(), 100.0)
         shift.tick(102.0)
-        early = {n for n in range(300) if shift.takes("fes-1", f"r{n}", 104.0)}
-        late = {n for n in range(300) if shift.takes("fes-1", f"r{n}", 114.0)}
+        early = {n for n in range(300) if shift.accepts("fes-1", f"r{n}", 104.0)}
+        late = {n for n in range(300) if shift.accepts("fes-1", f"r{n}", 114.0)}
         assert early < late
 
     def test_flapping_data_centre_is_held_longer_each_time(self):
--- a/packages/fulmarroad/tests/test_tables.py
+++ b/packages/fulmarroad/tests/test_tables.py
@@ -309,7 +309,7 @@
         answer = store.offer(*bad, "service")
         assert answer.verdict is Verdict.INVALID
         assert "route 'chat': pool" in answer.problems[0]
-        assert store.consider(bad[0], "service").verdict is Verdict.INVALID
+        assert store.check_manifest(bad[0], "service").verdict is Verdict.INVALID
         assert store.version == 2
         assert store.offer(*publish(3), "service").accepted
 
@@ -317,7 +317,7 @@
         store = TableStore()
         store.offer(*publish(1), "service")
         manifest, parts = publish(2, ROUTES + "\n")
-        asked = store.consider(manifest, "service")
+        asked = store.check_manifest(manifest, "service")
         assert asked.verdict is Verdict.INCOMPLETE
         assert asked.missing == (hashlib.sha256((ROUTES + "\n").encode()).hexdigest(),)
         missing_parts = {key: parts[key] for key in asked.missing}
@@ -342,8 +342,8 @@
         source, requester = TableStore(), TableStore()
         requester.offer(*publish(1), "service")
         source.offer(*publish(2, ROUTES + "\n"), "service")
-        answer = source.give(requester.wanted())
+        answer = source.make_reply(requester.make_request())
         assert len(answer.parts) == 1
         manifest = parse_manifest(answer.manifest)
         assert requester.offer(manifest, answer.parts, "peer a").accepted
-        assert source.give(requester.wanted()).manifest == b""
+        assert source.make_reply(requester.make_request()).manifest == b""
--- a/packages/fulmarroad/tests/test_transport.py
+++ b/packages/fulmarroad/tests/test_transport.py
@@ -45,7 +45,7 @@
         self.detached.set()
 
     async def on_request(self, peer, message):
-        return m.TablesGiven(message.above)
+        return m.TablesReply(message.above)
 
 
 def tls_files(authority, *hosts):
@@ -101,7 +101,7 @@
             peer_channel = create_channel(await start_server(group, peer, tls), tls)
             assert await send_hello(peer_channel) == [m.Welcome(SHARD, EPOCH)]
             assert peer.received[0][0] == "router-a"
-            tables = await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+            tables = await peer_channel.ask(m.TablesRequest(7), m.TablesReply, 5.0)
             assert tables.version == 7
             await peer.detached.wait()
             await peer_channel.close()
@@ -122,7 +122,7 @@
                 await start_server(group, Peer(), server_tls), foreign_tls
             )
             with pytest.raises(TransportError):
-                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+                await peer_channel.ask(m.TablesRequest(7), m.TablesReply, 5.0)
             await peer_channel.close()
             group.cancel_scope.cancel()
 
@@ -131,7 +131,7 @@
         async with anyio.create_task_group() as group:
             peer_channel = create_channel(await start_server(group, Peer(), tls))
             with pytest.raises(TransportError):
-                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+                await peer_channel.ask(m.TablesRequest(7), m.TablesReply, 5.0)
             await peer_channel.close()
             group.cancel_scope.cancel()
 
@@ -142,7 +142,7 @@
             )
             peer_channel = create_channel(port)
             with pytest.raises(TransportError):
-                await peer_channel.ask(m.TablesWanted(7), m.TablesGiven, 5.0)
+                await peer_channel.ask(m.TablesRequest(7), m.TablesReply, 5.0)
             await peer_channel.close()
             group.cancel_scope.cancel()
 
@@ -150,7 +150,7 @@
         async with anyio.create_task_group() as group:
             peer_channel = create_channel(await start_server(group, Peer()))
             with pytest.raises(TransportError, match="invalid reply"):
-                await peer_channel.ask(m.TablesWanted(7), m.KeyRecorded, 5.0)
+                await peer_channel.ask(m.TablesRequest(7), m.KeyRecorded, 5.0)
             await peer_channel.close()
             group.cancel_scope.cancel()
 
