--- a/packages/fulmarroad/src/fulmarroad/events.py
+++ b/packages/fulmarroad/src/fulmarroad/events.py
@@ -26,11 +26,13 @@
 
     # 100: processes and tasks
     STARTED = EventKind(100, _I, "process started")
-    READY = EventKind(101, _I, "process takes calls")
+    READY = EventKind(101, _I, "process accepts calls")
     SHUTDOWN_BEGUN = EventKind(102, _I, "graceful shutdown begun")
     SHUTDOWN_DONE = EventKind(103, _I, "graceful shutdown done")
-    SETTINGS_RELOADED = EventKind(104, _I, "settings read again")
-    SETTINGS_REJECTED = EventKind(105, _E, "settings rejected, the former ones stay")
+    SETTINGS_RELOADED = EventKind(104, _I, "settings reloaded")
+    SETTINGS_REJECTED = EventKind(
+        105, _E, "settings rejected, previous settings stay in force"
+    )
     CALLS_LEFT = EventKind(106, _I, "calls in flight at the end of the drain")
     LOG_LINES_DROPPED = EventKind(107, _W, "log lines dropped")
     TASK_FAILED = EventKind(110, _E, "task failed and is restarted")
@@ -41,21 +43,27 @@
 
     # 200: configuration
     TABLES_ACCEPTED = EventKind(200, _I, "tables accepted")
-    TABLES_REJECTED = EventKind(201, _E, "tables rejected, last good ones stay")
-    TABLES_CONFLICT = EventKind(202, _E, "same version with other content refused")
+    TABLES_REJECTED = EventKind(
+        201, _E, "tables rejected, last valid ones stay in force"
+    )
+    TABLES_CONFLICT = EventKind(
+        202, _E, "tables rejected, same version with other content"
+    )
     TABLES_LOWER = EventKind(203, _W, "lower table version refused")
-    SERVICE_UNREACHABLE = EventKind(204, _W, "configuration service gave no answer")
+    SERVICE_UNREACHABLE = EventKind(204, _W, "no answer from configuration service")
     SERVICE_BACK = EventKind(205, _I, "configuration service answers again")
     TABLES_FROM_PEER = EventKind(206, _I, "tables fetched from a peer")
     VM_LIST_CHANGED = EventKind(207, _I, "VM list changed")
-    VM_LIST_REJECTED = EventKind(208, _W, "VM list rejected, last good one stays")
+    VM_LIST_REJECTED = EventKind(
+        208, _W, "VM list rejected, last valid one stays in force"
+    )
     CATALOG_IN_FORCE = EventKind(210, _I, "configuration in force")
-    STORE_LOST = EventKind(211, _W, "store gave no answer")
+    STORE_LOST = EventKind(211, _W, "no answer from store")
     STORE_BACK = EventKind(212, _I, "store answers again")
-    STORE_HISTORY_LOST = EventKind(213, _W, "store lost its history, listed anew")
-    STORE_ITEM_UNUSABLE = EventKind(214, _W, "item of the store can't be read")
-    STORE_LISTED = EventKind(215, _I, "store listed whole")
-    STORE_RETURNED_OLDER = EventKind(216, _W, "store came back from an older copy")
+    STORE_HISTORY_LOST = EventKind(213, _W, "store history lost, listed again")
+    STORE_ITEM_UNUSABLE = EventKind(214, _W, "unreadable store item ignored")
+    STORE_LISTED = EventKind(215, _I, "store listed completely")
+    STORE_RETURNED_OLDER = EventKind(216, _W, "store restored from an older copy")
 
     # 300: membership and roles
     MEMBER_CHANGED = EventKind(300, _I, "member changed state")
@@ -63,16 +71,16 @@
     GOSSIP_REJECTED = EventKind(302, _W, "membership packet rejected")
     ROLE_TAKEN = EventKind(310, _I, "scheduler role taken up")
     ROLE_SETTLED = EventKind(311, _I, "scheduler settled")
-    ROLE_GIVEN_UP = EventKind(312, _I, "scheduler role given up")
+    ROLE_GIVEN_UP = EventKind(312, _I, "scheduler role released")
     FOLLOW_CHANGED = EventKind(313, _I, "router follows another scheduler")
     LINK_LOST = EventKind(314, _W, "link to a peer lost")
     PEER_REJECTED = EventKind(315, _W, "frame from a peer rejected")
-    PEER_HEARD = EventKind(320, _I, "peer heard")
-    PEER_SILENT = EventKind(321, _W, "peer silent")
+    PEER_HEARD = EventKind(320, _I, "peer reachable")
+    PEER_SILENT = EventKind(321, _W, "no messages from peer")
     REPORT_REJECTED = EventKind(322, _W, "peer's report rejected")
     REPORT_UNSENT = EventKind(323, _W, "report not sent to a peer")
-    REPLICA_PULL_FAILED = EventKind(324, _W, "peer gave no copy of the store")
-    REPLICA_GIVE_FAILED = EventKind(325, _W, "copy of the store not given to a peer")
+    REPLICA_PULL_FAILED = EventKind(324, _W, "peer returned no copy of the store")
+    REPLICA_GIVE_FAILED = EventKind(325, _W, "copy of the store not sent to a peer")
 
     # 400: backend servers and data centres
     WARMTH_CHANGED = EventKind(400, _I, "backend server changed warmth")
@@ -81,35 +89,37 @@
     CENTRE_RETURNED = EventKind(411, _I, "data centre back in service")
     SHARES_TAKEN = EventKind(412, _W, "shares of lost routers taken up")
     SERVER_REGISTERED = EventKind(420, _I, "backend server registered or changed")
-    SERVER_GONE = EventKind(421, _I, "backend server gone")
-    SERVER_ENDED = EventKind(422, _W, "backend server ended under its calls")
+    SERVER_GONE = EventKind(421, _I, "backend server removed")
+    SERVER_ENDED = EventKind(422, _W, "backend server exited during calls")
 
     # 430: workspaces
-    WORKSPACE_TURNED_AWAY = EventKind(430, _I, "calls of a workspace turned away here")
+    WORKSPACE_TURNED_AWAY = EventKind(430, _I, "calls of a workspace rejected here")
 
     # 500: requests
     REQUEST_DONE = EventKind(500, _I, "request done")
     REQUEST_REFUSED = EventKind(501, _I, "request refused, not run")
     REQUEST_UNKNOWN = EventKind(502, _W, "outcome of request unknown")
-    REQUEST_RETRIED = EventKind(503, _I, "request tried at another backend server")
-    STREAM_RESUMED = EventKind(504, _W, "broken answer resumed")
-    STREAM_BROKEN = EventKind(505, _W, "answer broken off to its caller")
-    CALLER_LEFT = EventKind(506, _I, "caller left before its answer ended")
+    REQUEST_RETRIED = EventKind(503, _I, "request retried at another backend server")
+    STREAM_RESUMED = EventKind(504, _W, "interrupted answer resumed")
+    STREAM_BROKEN = EventKind(505, _W, "answer to caller aborted")
+    CALLER_LEFT = EventKind(506, _I, "caller disconnected before the answer ended")
     REQUEST_FAILED = EventKind(508, _E, "request failed inside the router")
     SEND_FAILED = EventKind(509, _W, "send to a backend server failed")
-    CALLER_HEADERS_LATE = EventKind(510, _I, "caller sent no whole headers in time")
-    REQUEST_BARRED = EventKind(511, _W, "request not sent, servers ended under it")
+    CALLER_HEADERS_LATE = EventKind(
+        510, _I, "caller did not send complete headers in time"
+    )
+    REQUEST_BARRED = EventKind(511, _W, "request not sent, servers exited during it")
     REQUEST_BARRED_NOW = EventKind(512, _W, "request is barred from now on")
 
     # 600: keys
     KEY_FENCED = EventKind(600, _I, "key fenced for a repeat")
-    KEY_REPLAYED = EventKind(601, _I, "stored outcome given for a repeat")
+    KEY_REPLAYED = EventKind(601, _I, "stored outcome returned for a repeat")
     KEY_REFUSED = EventKind(602, _W, "keyed call refused, not run")
     KEYS_COPIED = EventKind(603, _I, "key records copied, router votes")
 
     # 700: operators
     ADMIN_REJECTED = EventKind(700, _W, "admin call rejected")
-    DRAIN_ASKED = EventKind(701, _I, "drain asked by an operator")
+    DRAIN_ASKED = EventKind(701, _I, "drain requested by an operator")
 
 
 def emit(logger: logging.Logger, event: Event, **fields: Any) -> None:
