--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -70,7 +70,7 @@
 
     `wait_s` is the shortest wait that the pool's schedulers estimate, `servers` the
     number of backend servers that accept work, and `remaining_s` the time to the
-    request's own deadline (infinite where the caller set none).
+    request's own deadline (infinite if the caller set none).
     """
 
     pool: PoolName
@@ -124,11 +124,10 @@
     ) -> Refusal | None:
         """Queue a request, or return a refusal with its reason and Retry-After.
 
-        Where the queue of the workspace or of the router is full, a waiting request
-        that can't meet its deadline any more is shed in favour of the new one. In a
-        full router queue without such a request, the newest of the workspace with the
-        most waiting requests may be shed. Call `shed` afterwards to get the shed
-        requests.
+        If the queue of the workspace or of the router is full, a waiting request that
+        can't meet its deadline any more is shed in favour of the new one. In a full
+        router queue without such a request, the newest of the workspace with the most
+        waiting requests may be shed. Call `shed` afterwards to get the shed requests.
         """
         self._wait_s[view.pool] = view.wait_s
         time_limit_s = min(route.max_wait_s, view.remaining_s)
--- a/packages/fulmarroad/src/fulmarroad/_checks.py
+++ b/packages/fulmarroad/src/fulmarroad/_checks.py
@@ -176,7 +176,7 @@
     for key, raw in row.items():
         check = checks.get(key)
         if check is None:
-            report(key, "is no field here; known are " + ", ".join(checks))
+            report(key, "is not a known field; the fields are " + ", ".join(checks))
             valid = False
             continue
         try:
--- a/packages/fulmarroad/src/fulmarroad/_commands.py
+++ b/packages/fulmarroad/src/fulmarroad/_commands.py
@@ -104,7 +104,7 @@
 
 @frozen
 class FromPeer:
-    """Pass on a message from a stream that a peer opened: a follower's or a report."""
+    """Pass on a follower's message or a report from a stream that a peer opened."""
 
     peer: RouterName
     message: Any
--- a/packages/fulmarroad/src/fulmarroad/_concurrency.py
+++ b/packages/fulmarroad/src/fulmarroad/_concurrency.py
@@ -1,9 +1,9 @@
 """Concurrency limit of a warm backend server, derived from its answers.
 
-It is built for saturation and for backend servers that are slower than their peers. A
-fixed limit that is too high makes all answers of the server slow, and one that is too
-low leaves capacity idle while requests wait; operators would see throughput fall while
-more requests run, or idle accelerators next to a queue.
+It handles saturation and backend servers that are slower than their peers. A fixed
+limit that is too high makes all answers of the server slow, and one that is too low
+leaves capacity idle while requests wait; operators would see throughput fall while more
+requests run, or idle accelerators next to a queue.
 
 The speed of an engine's answers is constant until its batch is full. Beyond it each
 further request slows down all others, and some engines lose total throughput. So the
@@ -20,7 +20,7 @@
 from fulmarroad._tables import Pool, PoolKind
 
 MIN_GAIN = 0.4
-"""Least relative gain in throughput at which a higher limit is kept.
+"""Minimum relative gain in throughput at which a higher limit is kept.
 
 The gain is 1 below the knee, where the batch is full, and 0 above it, so a threshold
 near the middle is least sensitive to noise. It is a little lower, because a limit that
@@ -37,8 +37,8 @@
 MAX_SLOW_LOSS = 0.7
 """Relative loss of throughput below which a lower limit is kept when answers are slow.
 
-From this loss on the answers hardly became faster. The server is then slow at any
-limit and keeps its best one.
+At a greater loss the answers hardly became faster: the server is slow at any limit and
+keeps its best one.
 """
 
 PROBE_DIVISOR = 8
@@ -75,7 +75,7 @@
 """
 
 MIN_ROUND = 8
-"""Least answers in a round; with fewer, single requests would decide on a limit."""
+"""Minimum answers in a round; with fewer, single requests would determine a limit."""
 
 HOLD_ROUNDS = 16
 """Rounds between a failed trial and the next one.
@@ -85,7 +85,7 @@
 """
 
 MAX_HOLD_ROUNDS = 64
-"""Greatest number of rounds between trials, reached after several failed ones.
+"""Maximum number of rounds between trials, reached after several failed ones.
 
 At two seconds per answer these are two minutes, after which a server that became
 faster is detected.
@@ -105,7 +105,7 @@
 def latency_ratio(
     pool: Pool, first_s: float | None, gap_s: float | None
 ) -> float | None:
-    """Return the greater ratio of an answer's times to the pool's targets, if known."""
+    """Return the larger ratio of an answer's times to the pool's targets, if known."""
     parts = []
     if first_s is not None:
         parts.append(first_s / pool.first_token_target_s)
--- a/packages/fulmarroad/src/fulmarroad/_coordinator.py
+++ b/packages/fulmarroad/src/fulmarroad/_coordinator.py
@@ -1,4 +1,4 @@
-"""The task that owns a router's coordination state and its streams to peers.
+"""Task that owns a router's coordination state and its streams to peers.
 
 Requests, peers, membership and configuration send it typed commands. It answers a
 request on the reply channel of its command.
--- a/packages/fulmarroad/src/fulmarroad/_datagrams.py
+++ b/packages/fulmarroad/src/fulmarroad/_datagrams.py
@@ -2,8 +2,8 @@
 
 On a router with a saturated processor, one iteration of the event loop takes a tenth of
 a second. A library that delivers one packet per iteration falls further behind with
-each packet. The symptom is a router that decides by loads and member updates that are
-many seconds old although its peers sent newer ones in time.
+each packet. The symptom is a router whose decisions use loads and member updates that
+are many seconds old, although its peers sent newer ones in time.
 """
 
 from __future__ import annotations
--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -1,10 +1,9 @@
 """Weighted fair queue of a shard, which serves the least served workspace next.
 
-It is built for a workspace that floods, a few workspaces that cause most of the load,
-long requests among short ones, and saturation. Without it the workspace that sends
-most requests gets most service, and a small workspace waits behind the whole backlog
-of a large one; operators would see waits that differ between workspaces of equal
-weight.
+It handles a workspace that floods, a few workspaces that cause most of the load, long
+requests among short ones, and saturation. Without it the workspace that sends most
+requests gets most service, and a small workspace waits behind the whole backlog of a
+large one; operators would see waits that differ between workspaces of equal weight.
 
 Each workspace has a counter: the service it received divided by its weight. The cost
 of a request is known only at its end, so a grant charges an estimate, which progress
--- a/packages/fulmarroad/src/fulmarroad/_keyrecords.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyrecords.py
@@ -22,7 +22,7 @@
 """Total bytes of stored answers, an eighth of a router's memory for control data."""
 
 BODIES_WORKSPACE_DIVISOR = 8
-"""One workspace may use the total divided by this, so that others can store theirs."""
+"""Divisor of the total that limits one workspace, so that others can store theirs."""
 
 EVEN_SHARE_THRESHOLD = 0.75
 """Fraction of its capacity from which the store limits workspaces to an even share.
--- a/packages/fulmarroad/src/fulmarroad/_manifest.py
+++ b/packages/fulmarroad/src/fulmarroad/_manifest.py
@@ -115,7 +115,7 @@
     if bool(version) != bool(parts) and not problems:
         problems.append("manifest: part: must be at least one [[part]], from version 1")
     unknown = sorted(set(document) - {"version", "part"})
-    problems += [f"manifest: {key}: is no field here" for key in unknown]
+    problems += [f"manifest: {key}: is not a known field" for key in unknown]
     if problems:
         raise ConfigurationError(
             "The manifest is not valid.", problems=tuple(problems), hint=_HINT
--- a/packages/fulmarroad/src/fulmarroad/_members.py
+++ b/packages/fulmarroad/src/fulmarroad/_members.py
@@ -77,7 +77,7 @@
 
 
 def supersedes(update: MemberUpdate, known: MemberUpdate | Member) -> bool:
-    """Tell whether an update replaces the known state of a member.
+    """Return whether an update replaces the known state of a member.
 
     The higher incarnation wins. Only the VM itself raises it, so a report that it is
     dead never replaces a later run of it. Within one incarnation the higher-ranked
@@ -155,7 +155,7 @@
 
 
 def _is_usable(update: MemberUpdate, known: Member | None) -> bool:
-    """Tell whether the names fit into a packet and the member can be probed.
+    """Return whether the names fit into a packet and the member can be probed.
 
     A dead state of an unknown member carries no address and is rejected too: there is
     no member to mark dead, and a member that is alive refutes it with a higher
--- a/packages/fulmarroad/src/fulmarroad/_membership_view.py
+++ b/packages/fulmarroad/src/fulmarroad/_membership_view.py
@@ -50,7 +50,7 @@
         return self._table.members.get(router)
 
     def is_reachable(self, router: RouterName) -> bool:
-        """Tell whether a router is a member that is not dead."""
+        """Return whether a router is a member that is not dead."""
         member = self.get(router)
         return member is not None and member.state is not MemberState.DEAD
 
--- a/packages/fulmarroad/src/fulmarroad/_pages.py
+++ b/packages/fulmarroad/src/fulmarroad/_pages.py
@@ -33,7 +33,7 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether the last page has been received at least once."""
+        """Return whether the last page has been received at least once."""
         return self._complete
 
     def restart(self, now: float) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_placement.py
+++ b/packages/fulmarroad/src/fulmarroad/_placement.py
@@ -119,7 +119,7 @@
     *,
     mean_cost: float | None = None,
 ) -> Unit | None:
-    """Return the free unit for a demand, or None where it avoids all servers with one.
+    """Return the free unit for a demand, or None if it avoids all servers with one.
 
     The order is: the longest cached prefix on a server whose load is within
     `LOAD_BOUND` of the mean, then warm before warming before cold, then the lowest
@@ -152,7 +152,7 @@
 def choose_shard(
     views: Sequence[ShardView], *, avoid: Collection[ShardId], key: str
 ) -> ShardId | None:
-    """Return the shard to ask, or None where there is none.
+    """Return the shard to ask, or None if there is none.
 
     Unreachable shards come last, before them those in `avoid`, which were asked
     already. The order of the others is: the shortest expected wait, shards with free
--- a/packages/fulmarroad/src/fulmarroad/_policies.py
+++ b/packages/fulmarroad/src/fulmarroad/_policies.py
@@ -79,7 +79,7 @@
 
     @property
     def reports_totals(self) -> bool:
-        """Tell that totals and moves between shards don't apply to a baseline."""
+        """Return false: baselines use no service totals or moves between shards."""
         return False
 
     @property
@@ -159,7 +159,7 @@
 
     @property
     def reports_totals(self) -> bool:
-        """Tell that totals and moves between shards don't apply to a baseline."""
+        """Return false: baselines use no service totals or moves between shards."""
         return False
 
     @property
--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -1,12 +1,11 @@
 """Units of a backend server that a scheduler may grant because routers lend them.
 
 This guards against a network split within a data centre while both sides still reach
-the same backend servers. Each side elects its own scheduler. If the two schedulers
-both granted the whole limit, every server would get twice the load; operators would
-see overloaded servers although the records of each side are consistent. Every unit
-therefore belongs to one router of the published VM list, by hash, and a scheduler
-grants it only while that router lends it. A router lends to the one scheduler that it
-follows.
+the same backend servers. Each side elects its own scheduler. If both schedulers granted
+the whole limit, every server would get twice the load; operators would see overloaded
+servers although the records of each side are consistent. Every unit therefore belongs
+to one router of the published VM list, by hash, and a scheduler grants it only while
+that router lends it. A router lends to the one scheduler that it follows.
 
 A lease outlives the lending under which it was granted, so a unit that changes sides
 can be used twice for the length of one lease. A warm server can bear that. A server
@@ -155,10 +154,10 @@
         """Return the units below a limit that no other scheduler can be using.
 
         A lending is in quarantine until every lease that another scheduler granted
-        under a former lending has ended or is known here. If the lendings past their
-        quarantine are of more than half of the published VMs, no other scheduler has
-        as many, so all units are safe, also those of a dead router. With exactly half
-        the units of these lenders are safe, with fewer none.
+        under a former lending has ended or is known here. If more than half of the
+        published VMs have lendings past their quarantine here, no other scheduler has
+        as many, so all units are safe, including those of a dead router. With exactly
+        half, only the units of these lenders are safe; with fewer, none are.
         """
         self._end_quarantines(now)
         trusted = {
--- a/packages/fulmarroad/src/fulmarroad/_shifting.py
+++ b/packages/fulmarroad/src/fulmarroad/_shifting.py
@@ -1,13 +1,13 @@
 """Share of new work that each data centre gets when it leaves service and returns.
 
 Failure patterns: operators take a data centre out of service at short notice and bring
-it back; a faulty link or a script takes it out and in many times. A data centre that
-leaves must get no new work from then on. Without a ramp, every router turns at once to
-the returned servers, which are cold, and their queues grow while warm servers elsewhere
-idle. Without damping, a flapping data centre moves the load of the fleet back and
-forth, and each move costs caches and warmth on both sides; the time to the first token
-then rises with each version of the tables. Leaving is therefore immediate, returning is
-slow, and repeated returns are slower still.
+it back; a faulty link or a script takes it out of service and back many times. A data
+centre that leaves must get no new work from then on. Without a ramp, every router
+immediately sends its requests to the returned servers, which are cold, and their queues
+grow while warm servers elsewhere idle. Without damping, a flapping data centre moves
+the load of the fleet back and forth, and each move costs caches and warmth on both
+sides; the time to the first token then rises with each version of the tables. Leaving
+is therefore immediate, returning is slow, and repeated returns are slower still.
 """
 
 from __future__ import annotations
--- a/packages/fulmarroad/src/fulmarroad/_suspicion.py
+++ b/packages/fulmarroad/src/fulmarroad/_suspicion.py
@@ -53,7 +53,7 @@
         self._recovery_end = now
 
     def recovering_from_pause(self, now: float) -> bool:
-        """Tell whether this process has just resumed from a pause."""
+        """Return whether this process has just resumed from a pause."""
         return now < self._recovery_end
 
     def detect_pause(self, now: float, members: int) -> bool:
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -122,11 +122,11 @@
         return self._view.table.changes()
 
     def recovering_from_pause(self, now: float) -> bool:
-        """Tell whether this process has just resumed from a pause."""
+        """Return whether this process has just resumed from a pause."""
         return self._timers.recovering_from_pause(now)
 
     def joined(self, now: float) -> bool:
-        """Tell whether the members are known, or no other router answered in time."""
+        """Return whether the members are known, or no other router answered in time."""
         if self._pages.complete:
             return True
         return not self._view.others() and now - self._started >= JOIN_TIMEOUT_S
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -1,10 +1,10 @@
 """Exchange of service totals between the schedulers of a pool.
 
-It is built for workspaces whose requests are queued at several shards, or at another
-shard than those of a competing workspace. Without totals each shard is fair only on
-its own, and a workspace gets a full share at every shard it uses; operators would see
-service grow with the number of shards. No consensus is needed: each scheduler sends
-cumulative sums under its own epoch, so lost, duplicate or late reports do no harm.
+It handles workspaces whose requests are queued at several shards, or at another shard
+than those of a competing workspace. Without totals each shard is fair only on its own,
+and a workspace gets a full share at every shard it uses; operators would see service
+grow with the number of shards. No consensus is needed: each scheduler sends cumulative
+sums under its own epoch, so lost, duplicate or late reports do no harm.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from fulmarroad.types import Epoch, ShardId, WorkspaceName
 
 CONTROL_BYTES_S = 2500.0
-"""Bytes per second for the reports of one scheduler, of 7 KB per second in all."""
+"""Bytes per second for the reports of one scheduler, out of 7 KB in total."""
 
 REPORT_BYTES = 100
 ENTRY_BYTES = 48
@@ -39,11 +39,11 @@
 """
 
 MIN_LEAST_SERVED = 8
-"""Least served workspaces that every report contains; other shards choose by them
-which demands they send here."""
+"""Number of least served workspaces that every report contains; other shards use them
+to choose the demands that they send here."""
 
 MIN_INTERVAL_S = 0.1
-"""Least seconds between reports; below it the cost of single requests determines the
+"""Minimum seconds between reports; below it the cost of single requests determines the
 gap."""
 
 IDLE_INTERVAL_S = 2.0
@@ -59,13 +59,13 @@
 """Seconds without a report after which a scheduler's next service counts as late."""
 
 SEED_WINDOW_S = 2.0
-"""Seconds in which a workspace that is new here gets its counter from reports."""
+"""Seconds during which a workspace that is new here takes its counter from reports."""
 
 FORGET_S = 2 * 3600.0
 """Seconds to keep sums of a silent scheduler; a region may be cut off for an hour."""
 
 MAX_EPOCHS = 128
-"""Greatest number of schedulers kept; the largest pools have some 20 shards."""
+"""Maximum number of schedulers kept; the largest pools have some 20 shards."""
 
 
 @define
--- a/packages/fulmarroad/src/fulmarroad/_vm_listing.py
+++ b/packages/fulmarroad/src/fulmarroad/_vm_listing.py
@@ -65,7 +65,7 @@
     version = _read_version(document, problems)
     rows = _read_rows(document.get("vm", []), problems)
     unknown = sorted(set(document) - {"version", "vm"})
-    problems += [f"vms: {key}: is no field here" for key in unknown]
+    problems += [f"vms: {key}: is not a known field" for key in unknown]
     if problems:
         raise ConfigurationError(
             "The VM list is not valid.",
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -75,6 +75,6 @@
         return tuple(sorted({entry.data_centre for entry in self.entries}))
 
     def is_leaving(self, router: RouterName) -> bool:
-        """Tell whether the list marks a VM as leaving."""
+        """Return whether the list marks a VM as leaving."""
         entry = self._entries.get(router)
         return entry is not None and entry.leaving
--- a/packages/fulmarroad/src/fulmarroad/_voting_eligibility.py
+++ b/packages/fulmarroad/src/fulmarroad/_voting_eligibility.py
@@ -1,8 +1,8 @@
 """Eligibility of a group member to vote on a key.
 
-A member may vote only if it knows all that it voted before. Otherwise a call could run
-twice in two ways. A restarted member has lost the start that it recorded and lets a
-repeat through. Or the VM list changes, the key's group changes with it, and the new
+A member may vote only if it knows all its earlier votes. Otherwise a call could run
+twice in two cases: a restarted member has lost the start that it recorded and lets a
+repeat through; or the VM list changes, the key's group changes with it, and the new
 group does not know what a majority of the old one recorded.
 """
 
--- a/packages/fulmarroad/src/fulmarroad/_warmth.py
+++ b/packages/fulmarroad/src/fulmarroad/_warmth.py
@@ -29,9 +29,9 @@
 from fulmarroad.types import Outcome, ServerName, Warmth
 
 SMALL_BUDGET = 4
-"""Budget below which the step is one and up to which throughput ends no ramp.
+"""Budget below which a step adds one request; throughput ends a ramp only above it.
 
-The throughput of one to three requests is too noisy to find the limit by.
+The throughput of one to three requests is too noisy to determine the limit.
 """
 
 BUDGET_GROWTH = 1.5
@@ -49,7 +49,7 @@
 """
 
 MAX_RAMP_DOUBLINGS = 3
-"""Greatest number of times that the required good answers are doubled.
+"""Maximum number of times that the required good answers are doubled.
 
 They are doubled for each failed ramp, so that a server that warms up slowly is not
 overloaded at the same budget again and again.
@@ -101,7 +101,7 @@
 """Seconds before the first probe of a failing server; a restart takes longer."""
 
 BACKOFF_CAP_S = 60.0
-"""Longest wait between probes, in seconds.
+"""Maximum wait between probes, in seconds.
 
 It is the longest time that a repaired server stays idle. A dead server costs callers
 at most one failed probe a minute.
