--- a/packages/fulmarroad-bench/tests/test_scenarios.py
+++ b/packages/fulmarroad-bench/tests/test_scenarios.py
@@ -38,7 +38,7 @@
     def test_reports_each_problem(self, raw, problem):
         with pytest.raises(ConfigurationError) as caught:
             parse_scenario("x", raw)
-        assert problem in caught.value.show()
+        assert problem in caught.value.format_message()
 
     def test_reports_all_problems_at_once(self):
         raw = {"group": [{"callers": 1}], "speed": 1, "seconds": 300}
--- a/packages/fulmarroad-router/src/fulmarroad_router/execution.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/execution.py
@@ -356,7 +356,7 @@
         progress.failed = (*progress.failed, lease.server.name)
         if progress.tokens and progress.tries < MAX_TRIES:
             return
-        if progress.tries < MAX_TRIES and self._admission_controller.may_retry(
+        if progress.tries < MAX_TRIES and self._admission_controller.take_retry(
             call.pool.name
         ):
             self._log_retry(call, lease, error)
@@ -393,7 +393,7 @@
         if (
             call.route.repeatable
             and not exhausted
-            and self._admission_controller.may_retry(call.pool.name)
+            and self._admission_controller.take_retry(call.pool.name)
         ):
             self._log_retry(call, lease, error)
             return
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -1,10 +1,10 @@
 """Exchange of service totals between the schedulers of a pool.
 
-It is built for workspaces whose requests are queued at several shards, or at another
-shard than those of a competing workspace. Without totals each shard is fair only on
-its own, and a workspace gets a full share at every shard it uses; operators would see
-service grow with the number of shards. No consensus is needed: each scheduler sends
-cumulative sums under its own epoch, so lost, duplicate or late reports do no harm.
+It handles workspaces whose requests are queued at several shards, or at another shard
+than those of a competing workspace. Without totals each shard is fair only on its own,
+and a workspace gets a full share at every shard it uses; operators would see service
+grow with the number of shards. No consensus is needed: each scheduler sends cumulative
+sums under its own epoch, so lost, duplicate or late reports do no harm.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from fulmarroad.types import Epoch, ShardId, WorkspaceName
 
 CONTROL_BYTES_S = 2500.0
-"""Bytes per second for the reports of one scheduler, of 7 KB per second in all."""
+"""Bytes per second for the reports of one scheduler, out of 7 KB in total."""
 
 REPORT_BYTES = 100
 ENTRY_BYTES = 48
@@ -31,7 +31,7 @@
 MAX_ENTRIES = 64
 """Entries per report; the next one sends the rest, the largest change first."""
 
-MOVE_COSTS = 2.0
+MOVE_LAG_COSTS = 2.0
 """Lag, in request costs, from which demands of a workspace move to another shard.
 
 A lag of one cost is normal between two grants. At two, the next grant of the other
@@ -39,11 +39,11 @@
 """
 
 MIN_LEAST_SERVED = 8
-"""Least served workspaces that every report contains; other shards choose by them
-which demands they send here."""
+"""Number of least served workspaces that every report contains; other shards use them
+to choose the demands that they send here."""
 
 MIN_INTERVAL_S = 0.1
-"""Least seconds between reports; below it the cost of single requests determines the
+"""Minimum seconds between reports; below it the cost of single requests determines the
 gap."""
 
 IDLE_INTERVAL_S = 2.0
@@ -59,13 +59,13 @@
 """Seconds without a report after which a scheduler's next service counts as late."""
 
 SEED_WINDOW_S = 2.0
-"""Seconds in which a workspace that is new here gets its counter from reports."""
+"""Seconds during which a workspace that is new here takes its counter from reports."""
 
 FORGET_S = 2 * 3600.0
 """Seconds to keep sums of a silent scheduler; a region may be cut off for an hour."""
 
 MAX_EPOCHS = 128
-"""Greatest number of schedulers kept; the largest pools have some 20 shards."""
+"""Maximum number of schedulers kept; the largest pools have some 20 shards."""
 
 
 @define
@@ -131,8 +131,8 @@
     - `4 * rate * (interval_s + delay_s)`: service by other schedulers that is not
       reported yet, for both workspaces; once more for counters seeded at different
       times, and once more until demands have moved.
-    - `(units + MOVE_COSTS) * largest_cost`: leases granted before the first report of
-      a workspace arrived, and the lag below which demands don't move.
+    - `(units + MOVE_LAG_COSTS) * largest_cost`: leases granted before the first report
+      of a workspace arrived, and the lag below which demands don't move.
 
     The last two are left out if the pool has one shard.
 
@@ -144,7 +144,7 @@
     if shards <= 1:
         return grants / min_weight
     unreported = 4 * rate * (interval_s + delay_s)
-    moves = (units + MOVE_COSTS) * largest_cost
+    moves = (units + MOVE_LAG_COSTS) * largest_cost
     return (grants + unreported + moves) / min_weight
 
 
@@ -216,7 +216,7 @@
 
     def pending_entries(self, now: float) -> int:
         """Return how many workspaces the next report would contain without a limit."""
-        return self._queue.ahead() + len(self._unreported_remote(now))
+        return self._queue.demands_ahead() + len(self._unreported_remote(now))
 
     def forget(self, now: float) -> None:
         """Drop sums that were received or sent more than `FORGET_S` ago."""
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -42,7 +42,7 @@
         """Return the entries of the current list."""
         return self._entries.values()
 
-    def offer(self, entries: Collection[VmEntry]) -> bool:
+    def replace(self, entries: Collection[VmEntry]) -> bool:
         """Replace the list; return whether anything changed.
 
         An empty list is ignored. It must be wrong, as this router is itself a VM, and
@@ -75,6 +75,6 @@
         return tuple(sorted({entry.data_centre for entry in self.entries}))
 
     def is_leaving(self, router: RouterName) -> bool:
-        """Tell whether the list marks a VM as leaving."""
+        """Return whether the list marks a VM as leaving."""
         entry = self._entries.get(router)
         return entry is not None and entry.leaving
--- a/packages/fulmarroad/tests/test_tables.py
+++ b/packages/fulmarroad/tests/test_tables.py
@@ -103,7 +103,11 @@
             ("weight = 2", "weight = 0", "workspace 'atlas': weight: must be from"),
             ("weight = 2", "weight = nan", "workspace 'atlas': weight: must be from"),
             ("weight = 2", "weight = true", "weight: must be a number; is True"),
-            ("weight = 2", "wieght = 2", "workspace 'atlas': wieght: is no field"),
+            (
+                "weight = 2",
+                "wieght = 2",
+                "workspace 'atlas': wieght: is not a known field",
+            ),
             ('name = "rif"', 'name = "atlas"', "'atlas': name: is used twice"),
             ('name = "rif"', 'name = "a/b"', "'a/b': name: must be 1 to 64 letters"),
             ('name = "rif"', "", "workspace number 2: name: is missing"),
@@ -211,7 +215,7 @@
             ('"routes"', '"rotues"', "'routes-1': table: must be"),
             ("bytes = ", "bytes = 9999999", "bytes: must be from 1 to 1000000"),
             ("pools-1", "routes-1", "'routes-1': name: is used twice"),
-            ("version = 7", "version = 7\nextra = 1", "extra: is no field"),
+            ("version = 7", "version = 7\nextra = 1", "extra: is not a known field"),
         ],
     )
     def test_rejects_an_invalid_manifest(self, old, new, expected):
@@ -309,7 +313,7 @@
         answer = store.offer(*bad, "service")
         assert answer.verdict is Verdict.INVALID
         assert "route 'chat': pool" in answer.problems[0]
-        assert store.consider(bad[0], "service").verdict is Verdict.INVALID
+        assert store.check_manifest(bad[0], "service").verdict is Verdict.INVALID
         assert store.version == 2
         assert store.offer(*publish(3), "service").accepted
 
@@ -317,7 +321,7 @@
         store = TableStore()
         store.offer(*publish(1), "service")
         manifest, parts = publish(2, ROUTES + "\n")
-        asked = store.consider(manifest, "service")
+        asked = store.check_manifest(manifest, "service")
         assert asked.verdict is Verdict.INCOMPLETE
         assert asked.missing == (hashlib.sha256((ROUTES + "\n").encode()).hexdigest(),)
         missing_parts = {key: parts[key] for key in asked.missing}
@@ -342,8 +346,8 @@
         source, requester = TableStore(), TableStore()
         requester.offer(*publish(1), "service")
         source.offer(*publish(2, ROUTES + "\n"), "service")
-        answer = source.give(requester.wanted())
+        answer = source.make_reply(requester.make_request())
         assert len(answer.parts) == 1
         manifest = parse_manifest(answer.manifest)
         assert requester.offer(manifest, answer.parts, "peer a").accepted
-        assert source.give(requester.wanted()).manifest == b""
+        assert source.make_reply(requester.make_request()).manifest == b""
