--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
@@ -1,9 +1,10 @@
 """Retry rules: whether a call may be sent again after each attempt.
 
-An error here loses or duplicates a call that must not be repeated: sent again after an
-unknown outcome it may run twice, and reported as "not run" after one it may have run.
-One record per call therefore decides both whether the call may be sent again and
-whether its caller may be told that it did not run.
+An error here loses or duplicates a call that must not be repeated. After an unknown
+outcome the call may have run: if it is sent again, it may run twice, and if it is
+reported as "not run", the caller is told something false. One record per call therefore
+decides both whether the call may be sent again and whether its caller may be told that
+it did not run.
 """
 
 from __future__ import annotations
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_catalog.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_catalog.py
@@ -41,7 +41,7 @@
     targets: tuple[Target, ...]
     timeout_s: float
     objective_s: float
-    """Promised time in seconds to the response (streams: to the first event)."""
+    """Promised time in seconds to the answer (streams: to the first event)."""
     max_attempts: int = 1
     priority: int = 0  # 0 is the most urgent
     anonymous: bool = False
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_connection.py
@@ -97,7 +97,7 @@
         enable_dead_peer_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes; without a pending call, reject the connection."""
+        """Parse received bytes; without a call, mark the connection unusable."""
         if not self._awaiting_answer:
             self._mark_unusable()
             return
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_crash_detector.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_crash_detector.py
@@ -1,6 +1,6 @@
 """Detect whether a backend server has crashed after a connection to it broke.
 
-Pattern of load: a crash breaks dozens of calls, and each of them asks for the check. A
+Load pattern: a crash breaks dozens of calls, and each of them triggers a check. A
 reset connection, a corrupt answer or a cut link break calls as well, but the server
 then accepts a new connection or does not respond. If its process has ended, the host
 refuses the connection.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_demands.py
@@ -71,7 +71,7 @@
 
 @frozen
 class Refusal:
-    """Hold the reason why a call is refused unsent, and the delay before a retry."""
+    """Hold the reason why a call is refused, and the delay before a retry."""
 
     reason: RefusalReason
     retry_after_s: float
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
@@ -1,6 +1,6 @@
 """Sum the reports of many routers, so that a large fleet needs few packets.
 
-Pattern of load: scores of routers send calls to the same engines, each a small part of
+Load pattern: scores of routers send calls to the same engines, each a small part of
 them. If each router reported to all others, the number of packets would grow with the
 square of the fleet. With gossip to a few random peers, loads would be half a second old
 and some would be missing: operators would see engines refuse calls as full while others
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_dispatch.py
@@ -295,7 +295,7 @@
                 duration_s = now - ticket.charge.sent_at
                 view.plain_s += PLAIN_LEARNING_RATE * (duration_s - view.plain_s)
         else:
-            # Without a penalty, a server that rejects calls looks idle and gets most.
+            # Without a penalty, a server that refuses calls looks idle and gets most.
             view.health.record_failure(now)
 
     def expire(self, now: float) -> list[ServerName]:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_early_rejection.py
@@ -4,11 +4,11 @@
 routers, whose reports about each other are older than an engine's queue. A call that is
 tried while an engine seems idle is placed, so the workspace that tries most often gets
 most, several routers fill the same engine at once and nearly every call is late; and
-each refusal costs its router a search. The symptoms are a workspace that gets half as
-much as another one, late first tokens at all engines, and routers whose CPU time is
-used up by refusals. So calls of a workspace are admitted for its max-min share of the
-capacity, with a margin for calls that find no free engine; the rest are refused before
-any engine is considered.
+each refusal costs its router a search for an engine. The symptoms are a workspace that
+gets half as much as another one, late first tokens at all engines, and routers whose
+CPU time is used up by refusals. So calls of a workspace are admitted for its max-min
+share of the capacity, with a margin for calls that find no free engine; the rest are
+refused before any engine is considered.
 
 The decision depends only on sums over the fleet. A router that adapted to its own
 measurements would reach another limit than the others, and workspaces whose calls all
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_engine_time.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_engine_time.py
@@ -25,8 +25,8 @@
 the reading delays all other prompts of the engine."""
 
 NEVER_SPREAD_S = float("-inf")
-"""Value of `spread_wait_s` when no engine has time to spare. It isn't zero because, by
-slightly outdated load reports, many engines seem to be idle."""
+"""Value of `spread_wait_s` when no engine has time to spare. It isn't zero because
+many engines seem to be idle according to slightly outdated load reports."""
 
 SHORTAGE_WEIGHT = 20.0
 """Addition to `BASE_WEIGHT` if all demand were refused, scaled by the refused fraction.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_fleet_view.py
@@ -34,13 +34,13 @@
 """Maximum number of peers for direct reports: some 100 packets a second."""
 
 REPORTS_PER_MEMBER_LIST = 6
-"""Every so many reports list other routers: once or twice a second."""
+"""Number of reports of which one lists other routers: once or twice a second."""
 
 MAX_REPORT_MEMBERS = 12
 """Maximum number of routers listed in one report, picked at random."""
 
 DIGESTS_PER_MEMBER_LIST = 10
-"""Every so many digests list the known routers: about once a second."""
+"""Number of digests of which one lists the known routers: about once a second."""
 
 MAX_REPORT_PARTS = 40
 """Maximum number of parts in one report, about 0.6 KB.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_forwarding.py
@@ -126,7 +126,7 @@
         return self._dispatcher.take_retry(run.demand.service, self._clock())
 
     def _withheld_error(self, run: ActiveCall) -> WithheldError | None:
-        """Return an error if crashes under this request forbid sending it now."""
+        """Return an error if the request is a suspect that may not be sent now."""
         suspects, now = self._dispatcher.suspects, self._clock()
         fingerprint = run.call.fingerprint
         suspect_state = suspects.suspect_state(fingerprint, now)
@@ -137,12 +137,12 @@
             return BarredError("Servers crashed while they ran the request.")
         if suspects.is_running(fingerprint, now):
             return WithheldError(
-                "The request is suspected of crashes and already runs."
+                "The request is suspected of crashing servers and already runs."
             )
         return None
 
     def _limit_repeats(self, run: ActiveCall) -> None:
-        """Forbid retries of a request under which two servers crashed.
+        """Forbid retries of a request that two servers ran as they crashed.
 
         The caller may still retry it.
         """
@@ -199,10 +199,10 @@
         suspects, now = self._dispatcher.suspects, self._clock()
         if suspects.suspect_state(run.call.fingerprint, now) < SuspectState.ISOLATED:
             return set()
-        is_running = suspects.trial_servers(now)
+        trial_servers = suspects.trial_servers(now)
         rows = [row.instance for row in self._dispatcher.registry.rows()]
         return {
-            row.id for row in rows if crash_id(row.id, row.started_ms) in is_running
+            row.id for row in rows if crash_id(row.id, row.started_ms) in trial_servers
         }
 
     async def _attempt(self, run: ActiveCall, placement: Placement) -> SendError | None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_load.py
@@ -1,4 +1,4 @@
-"""Estimate how soon a model engine would begin an answer.
+"""Estimate how soon an engine would begin an answer.
 
 Load pattern: many routers send long prompts among short answers. An engine admits
 prompts in the order of arrival and reads them one after the other, so its queue
@@ -62,8 +62,8 @@
 after a burst none."""
 
 FULL_PENALTY_S = 1.0
-"""Added to the wait if every slot is taken: a slot is only freed when an answer ends.
-"""
+"""Time added to the wait if every slot is taken: a slot is only freed when an answer
+ends."""
 
 
 @frozen
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_peers.py
@@ -124,7 +124,7 @@
             self._report_due.set()
 
     def reads_store(self) -> bool:
-        """Return whether this router is to read the store itself."""
+        """Return whether this router should read the store itself."""
         now = self._clock()
         if self._awaits_peer_copy(now):
             return False
@@ -175,8 +175,8 @@
             report = self._view.complete_report(self._report(now), now)
             hosts = self._view.receivers(self.seeds, self._sequence, now)
             self._send(packets, pack_report(report), hosts)
-            for digest, followers in self._view.digests(now):
-                self._send(packets, pack_digest(digest), followers)
+            for digest, receivers in self._view.digests(now):
+                self._send(packets, pack_digest(digest), receivers)
             await anyio.sleep(MIN_REPORT_INTERVAL_S)
             with anyio.move_on_after(self._report_s - MIN_REPORT_INTERVAL_S):
                 await self._report_due.wait()
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_positions.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_positions.py
@@ -1,4 +1,4 @@
-"""Positions in the store's history, which stay ordered when it is restored from a copy.
+"""Positions in the store's history, ordered even across restores from older copies.
 
 A store restored from an older copy assigns revisions again and increments its era. A
 position holds the era in the bits above the revision, so a single comparison orders
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_registry.py
@@ -50,7 +50,7 @@
     lapses_at: float | None = None
 
     def cold(self, now: float) -> bool:
-        """Return whether it takes few calls now, or may have restarted unnoticed."""
+        """Return whether it is warming up, or may have restarted unnoticed."""
         return now < self.cold_until or now < self.suspect_until
 
 
@@ -93,8 +93,8 @@
         row.suspect_until = 0.0
         if is_new_run:
             # The first listing after a router's restart shows servers that have cached
-            # their prompt parts. Treated as new, each of them would fetch the parts of
-            # its neighbours.
+            # their prompt parts. Treated as new, each of them would fetch its parts
+            # from other engines.
             ran_before = not self._listed and instance.warmup_left_s <= 0
             row.started_at = float("-inf") if ran_before else now
         row.cold_until = now + max(0.0, instance.warmup_left_s)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_replica_sync.py
@@ -27,9 +27,10 @@
 PULL_TIMEOUT_S = 2.4
 """Timeout of a pull.
 
-A pull takes the same number of event loop turns on a router whose loop is late, and so
-more time. With a shorter timeout it would be cancelled and restarted without ever
-finishing, and operators would see the router use servers that left long before.
+A pull takes the same number of event loop iterations on a router whose loop is late,
+and so more time. With a shorter timeout it would be cancelled and restarted without
+ever finishing, and operators would see the router use servers that were removed long
+before.
 """
 
 MAX_PULL_BYTES = 8 * 1024 * 1024
@@ -70,7 +71,7 @@
 
     @property
     def _era(self) -> int:
-        """Return the known era of the store, as older versions send none."""
+        """Return the known era of the store, for messages that state none."""
         return era_of(self._router_state.replica.at)
 
     def request_pull(self) -> None:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -35,8 +35,8 @@
 PEER_RETENTION_S = 120.0
 """Time without a report after which a peer no longer counts towards the fleet's size.
 
-A replaced VM is back long before. A router whose share of a fleet-wide bound grew too
-soon would break that bound.
+A replaced VM is back long before that. A router whose share of a fleet-wide bound grew
+too soon would break the bound.
 """
 
 
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_router_state.py
@@ -32,7 +32,7 @@
 logger = logging.getLogger("fulmarroad.serving")
 
 RESTORE_GRACE_S = 10.0
-"""Time for which facts that an older copy of the store lacks are kept after its return.
+"""Time after a restore from an older copy for which facts that it lacks are kept.
 
 Operators and servers write them again within seconds.
 """
@@ -127,7 +127,7 @@
         source: str,
     ) -> None:
         self._check_era(before, source)
-        # The return of the store counts as an outage even if no access failed.
+        # A restore of the store counts as an outage even if no access failed.
         failure_age_s = min(failure_age_s, self._clock() - self._restored_at)
         for item in items:
             fact = self._store.decode(item)
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_routing.py
@@ -100,7 +100,7 @@
     age_s: float  # time since it started
     wait_s: float  # before a prompt is read there
     read_rate: float  # prompt tokens a second
-    base_s: float  # first token of a cached prompt
+    base_s: float  # until the first token of a cached prompt
     penalty_s: float = 0.0
     fetch_rate: float = 0.0  # tokens a second from another engine; 0: no link
 
@@ -148,7 +148,10 @@
         return count * 0.5 ** ((now - at) / ASKED_HALF_LIFE_S)
 
     def send(self, part: PartId, server: ServerName, now: float) -> None:
-        """Record that this router sent a part, and queue one report to peers."""
+        """Record that a server was sent a part, and queue this for a report to peers.
+
+        It is not queued if the last time was less than half of `CACHED_ASSUMED_S` ago.
+        """
         before = self.sent_at(part, server)
         self.note(part, server, now)
         if now - before > CACHED_ASSUMED_S / 2:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_saturation.py
@@ -4,7 +4,7 @@
 while other VMs are idle. All calls share one event loop, and each further call makes
 every iteration longer. Calls then miss their deadlines, and the router receives updates
 too late. Operators would see unanswered callers at one VM whose processor is fully
-used, and calls to servers that have already left. The router therefore rejects calls
+used, and calls to servers that were already removed. The router therefore refuses calls
 while the loop runs late, so that callers can retry at another router in time.
 """
 
@@ -43,19 +43,21 @@
 """Shed fraction of streams from which callers should not use this router at all."""
 
 SATURATED_S = 3.0
-"""Time for which the router stays saturated after the last such sample. A balancer that
-polls each second needs two to notice, and the calls already sent end meanwhile."""
+"""Time for which the router stays saturated after the last sample with that
+fraction. A balancer that polls each second needs two to notice, and the calls already
+sent end meanwhile."""
 
 MAX_SATURATED_S = 24.0
-"""Maximum of that time for a router that is saturated again each time callers return.
-The excess load then stays on larger VMs instead of moving back and forth."""
+"""Maximum time for which a router stays saturated if each return of its callers
+saturates it again. The excess load then stays on larger VMs instead of moving back and
+forth."""
 
 REPEAT_WINDOW_S = 10.0
 """Time after the end of a saturation within which the next one counts as a repeat."""
 
 RETRY_AFTER_S = (0.02, 0.1)
 """Shortest and longest retry delay. Another router has capacity now, and the spread
-keeps callers rejected in one loop iteration from retrying at the same time."""
+keeps callers refused in one loop iteration from retrying at the same time."""
 
 
 @define
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_served_call.py
@@ -35,7 +35,7 @@
 
 @frozen
 class ServedCall:
-    """Hold a call whose body is read and whose checks passed."""
+    """Hold a validated call whose body has been read."""
 
     head: CallHead
     method: str
@@ -66,7 +66,7 @@
     read_tokens: int = 0  # prompt tokens not known to be cached at the server
     expected_s: float = 0.0  # estimated time from sending to the first part
     begun_s: float = 0.0  # the same time as measured
-    fingerprint: Fingerprint = b""  # set if servers crashed under the request
+    fingerprint: Fingerprint = b""  # set if servers crashed running the request
 
 
 @define
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_suspects.py
@@ -1,6 +1,6 @@
 """Detect requests that crash the servers which run them, and stop sending them.
 
-Pattern of load: a request crashes each server that starts it, and the caller repeats
+Load pattern: a request crashes each server that starts it, and the caller repeats
 it through any router, each time with a new request id. Each crash breaks dozens of
 other calls too, so one crash does not identify the request. Crashes of several servers
 without a single successful run do. Each router counts the crashes that it sees, sends
@@ -152,7 +152,7 @@
         """Called with a request that becomes barred and its number of crashes."""
 
     def suspect_state(self, fingerprint: Fingerprint, now: float) -> SuspectState:
-        """Return what may be done with a request."""
+        """Return how a request may be run."""
         record = self._records.get(fingerprint)
         if record is None:
             return SuspectState.CLEAR
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_outcomes.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_workspace_outcomes.py
@@ -1,6 +1,6 @@
 """Count the outcomes of each workspace's calls at one router, second by second.
 
-Pattern of load: thousands of refusals at the one router that a large caller uses. The
+Load pattern: thousands of refusals at the one router that a large caller uses. The
 log drops the lines of single calls first, so they could not show which workspace was
 refused, for which reason and against which share. The counts need few lines, and the
 log keeps these in preference to the lines of calls.
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/bounded_log.py
@@ -4,7 +4,7 @@
 without blocking. If a queue is full because of a full pipe or a burst, records are
 dropped, and a later line reports how many. Records about the router's state are written
 before those of single calls. Behind thousands of call records they would be written
-many seconds late or lost with the process, and the reasons for its decisions with them.
+many seconds late, or lost with the process and with them the reasons for its decisions.
 """
 
 from __future__ import annotations
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/contracts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/contracts.py
@@ -41,7 +41,7 @@
 
 @frozen
 class AnswerHead:
-    """Hold the decoded status and headers of a server's response."""
+    """Hold the decoded status and headers of a server's answer."""
 
     status: int
     request_id: str = ""
@@ -53,7 +53,7 @@
 
 
 class CallCodec(Protocol):
-    """Translate the headers of calls and responses."""
+    """Translate the headers of calls and answers."""
 
     def read_call(self, headers: Sequence[Header]) -> CallHead:
         """Decode a caller's headers."""
@@ -75,10 +75,10 @@
         """
 
     def read_answer(self, status: int, headers: Sequence[Header]) -> AnswerHead:
-        """Decode the status and headers of a server's response."""
+        """Decode the status and headers of a server's answer."""
 
     def own_headers(self, head: CallHead | None) -> Headers:
-        """Return the headers of a response that the router itself generates."""
+        """Return the headers of an answer that the router itself generates."""
 
 
 @frozen
@@ -165,4 +165,4 @@
     seeds: tuple[str, ...]  # hosts of some routers; may be out of date
     grace_s: float  # seconds from the stop request until the process is killed
     bounds: FleetBounds = field(factory=FleetBounds)
-    placement: str = DEFAULT_PLACEMENT  # name of the prompt placement policy
+    placement: str = DEFAULT_PLACEMENT  # name of the placement strategy
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/exceptions.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/exceptions.py
@@ -7,7 +7,7 @@
 
 
 class SendError(FulmarroadError):
-    """Report a send without a complete response; `outcome` says whether it ran."""
+    """Report a send without a complete answer; `outcome` says whether it ran."""
 
     outcome = SendOutcome.UNKNOWN
 
@@ -27,7 +27,7 @@
 
 
 class WithheldError(NotSentError):
-    """Report that a request is held back for now, as servers crashed running it."""
+    """Report that a request is withheld for now, as servers crashed running it."""
 
 
 class BarredError(WithheldError):
@@ -45,11 +45,11 @@
 
 
 class BrokenAnswerError(SendError):
-    """Report a response that is truncated, corrupt or missing."""
+    """Report an answer that is truncated, corrupt or missing."""
 
 
 class ConnectionBrokenError(BrokenAnswerError):
-    """Report a connection that closed before the response was complete."""
+    """Report a connection that closed before the answer was complete."""
 
 
 class SilentServerError(BrokenAnswerError):
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/node.py
@@ -279,7 +279,7 @@
         emit(logger, Event.SETTINGS_RELOADED, seeds=list(self._peers.seeds))
 
     async def _shut_down(self) -> None:
-        """Become unready, serve for the notice time, then finish the running calls."""
+        """Become unready, serve for `READINESS_GRACE_S`, then finish running calls."""
         begun = self._clock()
         emit(logger, Event.SHUTDOWN_BEGUN, in_flight=self._gate.in_flight)
         self._audit.record(
--- a/packages/fulmarroad-serving/tests/fleet_bed.py
+++ b/packages/fulmarroad-serving/tests/fleet_bed.py
@@ -32,7 +32,7 @@
 class FleetBed:
     """Simulate a fleet that exchanges packets in ticks.
 
-    A share `loss` of the packets is lost, and the data centre `cut` is cut off.
+    A fraction `loss` of the packets is lost, and the data centre `cut` is cut off.
     """
 
     size: int
--- a/packages/fulmarroad-serving/tests/test_callers.py
+++ b/packages/fulmarroad-serving/tests/test_callers.py
@@ -89,7 +89,7 @@
 
     def test_anonymous_calls_are_not_ranked_by_workspace_priorities(self):
         """Workspaces have a high priority and anonymous routes a low one. If anonymous
-        calls were ranked against the workspaces, all of them would be rejected early.
+        calls were ranked against the workspaces, all of them would be refused early.
         """
         urgent = KeyHolder("urgent", (digest_key(b"u"),), 0)
         routes = tuple(
--- a/packages/fulmarroad-serving/tests/test_histories.py
+++ b/packages/fulmarroad-serving/tests/test_histories.py
@@ -235,7 +235,7 @@
 
     @rule(server=SERVERS, warmup_s=st.floats(0.0, 5.0))
     def a_server_starts(self, server, warmup_s):
-        """A restart may reuse an id; the new run inherits no state."""
+        """Start a server, perhaps under a used id; the new run inherits no state."""
         self.started += 1
         self.alive[server] = self.started
         assert self.put(server, False, warmup_s)
--- a/packages/fulmarroad-serving/tests/test_lateness.py
+++ b/packages/fulmarroad-serving/tests/test_lateness.py
@@ -20,7 +20,7 @@
 
     def test_alternating_late_samples_are_not_a_sustained_delay(self):
         """A VM with a processor quota is paused for the rest of each tenth of a second.
-        A router that treated this as overload would reject calls while half of its
+        A router that treated this as overload would refuse calls while half of its
         processor is idle.
         """
         lateness = LoopLateness()
--- a/packages/fulmarroad-serving/tests/test_platform_calls.py
+++ b/packages/fulmarroad-serving/tests/test_platform_calls.py
@@ -1,4 +1,4 @@
-"""Translation of the headers of calls and responses."""
+"""Translation of the headers of calls and answers."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/packages/fulmarroad-serving/tests/test_registry.py
+++ b/packages/fulmarroad-serving/tests/test_registry.py
@@ -37,7 +37,7 @@
 class TestStarts:
     def test_servers_in_the_first_listing_have_been_running(self):
         """A router restarts among servers that have cached their prompt parts. Treated
-        as new, each would fetch these parts again from its neighbours for seconds.
+        as new, each would fetch these parts from other engines for seconds.
         """
         registry = Registry()
         registry.put(SERVER, 100.0)
--- a/packages/fulmarroad-serving/tests/test_replica.py
+++ b/packages/fulmarroad-serving/tests/test_replica.py
@@ -37,7 +37,7 @@
 
     def test_an_item_that_was_deleted_before_the_listing_does_not_come_back(self):
         """A router asks a peer for changes and reads a newer listing before the
-        response arrives. The response names a server removed in between. Adding it
+        answer arrives. The answer names a server removed in between. Adding it
         would keep the server in use forever, as its removal is not sent again.
         """
         copy = StateReplica()
--- a/packages/fulmarroad-serving/tests/test_saturation.py
+++ b/packages/fulmarroad-serving/tests/test_saturation.py
@@ -181,7 +181,7 @@
 CALL_S = CALL_TURNS * STEP_S
 
 PATIENCE_S = 0.5
-"""Time within which a caller must be rejected, so that another router can still serve
+"""Time within which a caller must be refused, so that another router can still serve
 it."""
 
 
@@ -292,7 +292,7 @@
         assert len(late) <= 0.01 * len(callers)
 
     def test_an_overloaded_router_still_serves_calls(self):
-        """Rejecting calls takes processor time too. A router that rejected all calls
+        """Refusing calls takes processor time too. A router that refused all calls
         while it is overloaded would serve nobody.
         """
         callers = self.run_load(2.5)
@@ -379,7 +379,7 @@
     def test_repeated_saturation_lasts_longer_each_time(self):
         """A small VM is taken out of service, recovers, is put back and gets the same
         large caller again. With a fixed time out of service, the calls would alternate
-        between small VMs and be rejected for two seconds each time, while large VMs are
+        between small VMs and be refused for two seconds each time, while large VMs are
         idle.
         """
         guard = guard_at(0.0)
--- a/packages/fulmarroad-serving/tests/test_store_returns.py
+++ b/packages/fulmarroad-serving/tests/test_store_returns.py
@@ -412,7 +412,7 @@
     """Restore the store from older copies and write the lost changes again.
 
     Routers list, watch, or pull from each other. None may go back to an older version
-    or use a server that it saw drain or leave. In the end all match the store.
+    or use a server that it saw draining or removed. In the end all match the store.
     """
 
     def __init__(self):
@@ -544,7 +544,7 @@
             assert {r.instance.id: r.instance.started_ms for r in rows} == live
 
     def record_left_runs(self):
-        """Record the runs that each router has seen drain or leave."""
+        """Record the runs that each router has seen draining or removed."""
         for name, (beliefs, registry) in self.routers.items():
             for item in beliefs.replica.since(0).items:
                 if item.key.startswith("server/") and item.data["draining"]:
