--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_attempts.py
@@ -2,7 +2,7 @@
 
 An error here loses or duplicates a call that must not be repeated. After an unknown
 outcome the call may have run: if it is sent again, it may run twice, and if it is
-reported as "not run", the caller is told something false. One record per call therefore
+reported as "not run", its caller may repeat it. One record per call therefore
 decides both whether the call may be sent again and whether its caller may be told that
 it did not run.
 """
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
@@ -218,7 +218,7 @@
             total,
             tuple(read_member(member, era) for member in row[7]),
             tuple((int(part), str(server)) for part, server in row[8]),
-            # Collectors of the previous version send no suspects.
+            # Collectors of the previous release send no suspects.
             read_suspects(row[9]) if len(row) > 9 else (),
         )
     except (ValueError, TypeError, IndexError, OverflowError) as error:
--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_reports.py
@@ -225,7 +225,7 @@
 
 
 def _read_position(revision: Any, row: list[Any], place: int, era: int) -> Position:
-    """Decode a position; the previous version sends no era, so `era` replaces it."""
+    """Decode a position; the previous release sends no era, so `era` replaces it."""
     return position(int(row[place]) if len(row) > place else era, int(revision))
 
 
@@ -284,7 +284,7 @@
             counts=read_counts(row[11]),
             known=tuple(read_member(member, era) for member in row[12]),
             parts=tuple((int(part), str(server)) for part, server in row[13]),
-            # Routers of the previous version send no suspects.
+            # Routers of the previous release send no suspects.
             suspects=read_suspects(row[14]) if len(row) > 14 else (),
         )
     except (ValueError, TypeError, IndexError, OverflowError) as error:
--- a/packages/fulmarroad-serving/tests/test_store_returns.py
+++ b/packages/fulmarroad-serving/tests/test_store_returns.py
@@ -261,7 +261,7 @@
         read(test)
 
     def test_an_excluded_data_centre_stays_excluded_after_a_restore(self):
-        """Its evacuation was acknowledged but is missing from the copy."""
+        """Its exclusion was acknowledged but is missing from the copy."""
 
         async def test(store, router):
             backup = store.save_copy()
