--- a/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
+++ b/packages/fulmarroad-serving/src/fulmarroad_serving/_digests.py
@@ -1,6 +1,6 @@
 """Sum the reports of many routers, so that a large fleet needs few packets.
 
-Pattern of load: scores of routers send calls to the same engines, each a small part of
+Load pattern: scores of routers send calls to the same engines, each a small part of
 them. If each router reported to all others, the number of packets would grow with the
 square of the fleet. With gossip to a few random peers, loads would be half a second old
 and some would be missing: operators would see engines refuse calls as full while others
@@ -218,7 +218,7 @@
             total,
             tuple(read_member(member, era) for member in row[7]),
             tuple((int(part), str(server)) for part, server in row[8]),
-            # Collectors of the previous version send no suspects.
+            # Collectors of the previous release send no suspects.
             read_suspects(row[9]) if len(row) > 9 else (),
         )
     except (ValueError, TypeError, IndexError, OverflowError) as error:
