--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_answers.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_answers.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-DEFAULT_TOKENS_LEAST = 16
+MIN_DEFAULT_TOKENS = 16
 DEFAULT_TOKENS_SPREAD = 48
 BENCH_ID_HEADER = "x-bench-id"
 WORKSPACE_HEADER = "fulmarroad-workspace"
@@ -29,7 +29,7 @@
 def default_tokens(request_id: str) -> int:
     """Return the length in tokens of an answer whose request states none."""
     spread = zlib.crc32(request_id.encode()) % DEFAULT_TOKENS_SPREAD
-    return DEFAULT_TOKENS_LEAST + spread
+    return MIN_DEFAULT_TOKENS + spread
 
 
 def answer_tokens(request_id: str, body: Mapping[str, Any]) -> int:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_control.py
@@ -53,7 +53,7 @@
 TICK_S = 0.05
 
 BLOCK_SIZES = (0, 4, 16)
-"""Numbers of prompt block hashes in a demand; the router sends 16 at most."""
+"""Numbers of prompt block hashes in a demand, up to 16; the router sends 8 at most."""
 
 
 def slopes() -> list[Slope]:
@@ -61,7 +61,7 @@
     return [
         *request_slopes(),
         *scheduler_slopes(),
-        *beat_slopes(),
+        *heartbeat_slopes(),
         *report_slopes(),
         *round_slopes(),
     ]
@@ -267,21 +267,21 @@
     ]
 
 
-def _beat(servers: int) -> Heartbeat:
+def _heartbeat(servers: int) -> Heartbeat:
     book = build_book(servers, UNITS)
     return Heartbeat(SHARD, EPOCH, 12345.6789, book.status(1.0), 100, 1.2345, True)
 
 
-def beat_slopes() -> list[Slope]:
+def heartbeat_slopes() -> list[Slope]:
     """Return bytes and time of heartbeats, lends and progress reports."""
     lend = Lend(SHARD, EPOCH, 12345.6789, 23456.789)
 
     def beat_codec_us(servers: int) -> float:
-        beat = _beat(servers)
+        heartbeat = _heartbeat(servers)
 
         def run() -> None:
             for _ in range(MESSAGES):
-                decode(encode(beat))
+                decode(encode(heartbeat))
                 decode(encode(lend))
 
         return best_us(run, MESSAGES)
@@ -314,7 +314,7 @@
             "server",
             "B",
             SERVER_SIZES,
-            lambda n: len(encode(_beat(n))),
+            lambda n: len(encode(_heartbeat(n))),
         ),
         measure(
             "lend_bytes", "lend", "B", (1, 2, 4), lambda n: len(encode(*[lend] * n))
@@ -336,6 +336,7 @@
 
 
 def report(entries: int, sequence: int = 1, router: str = "entry-vm-000002") -> Any:
+    """Return a service report with `entries` workspaces from another router."""
     rows = tuple(
         ServiceEntry(workspace_name(n), 12345.25 + sequence, 123.75, 12)
         for n in range(entries)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
@@ -45,7 +45,7 @@
 
 @frozen
 class CostTerm:
-    """Hold one product of the calculation: a role's need of one kind, mean of nodes."""
+    """Hold one product of the calculation: a role's mean need of one kind at a node."""
 
     role: str
     kind: str  # sent or received (bytes a second), us (a second) or bytes (held)
@@ -55,6 +55,8 @@
 
 
 class _CostSheet:
+    """Look up slopes by name and collect the cost terms."""
+
     def __init__(self, slopes: Sequence[Slope]) -> None:
         self._slopes = {slope.name: slope for slope in slopes}
         self.rows: list[CostTerm] = []
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
@@ -33,7 +33,7 @@
 
 @define(eq=False)
 class Answer:
-    """Collect one response; times are monotonic seconds."""
+    """Collect one answer; times are monotonic seconds."""
 
     sent_at: float = 0.0
     connected: bool = False
@@ -58,7 +58,7 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Mark the response as complete."""
+        """Mark the answer as complete."""
         self.complete = True
 
 
@@ -70,7 +70,7 @@
     disconnect_after_chunks: int | None = None,
     answer: Answer | None = None,
 ) -> Answer:
-    """Send one request and return the response, complete or not.
+    """Send one request and return the answer, complete or not.
 
     With `disconnect_after_chunks` the caller closes the connection after that many
     chunks of the body. `answer`, if given, is filled in and returned.
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_model.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_engine_model.py
@@ -168,7 +168,7 @@
         blocks: tuple[int, ...],
         position: int = 0,
     ) -> Job:
-        """Take a request into the batch; raise when it is recovering."""
+        """Admit a request; raise `EngineRefusedError` while the engine recovers."""
         if self.recovering:
             raise EngineRefusedError("the engine is restarting")
         hits = self.cache.matched(blocks)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_faults.py
@@ -24,7 +24,7 @@
 
 PROPAGATION_POLL_S = 0.05
 PROPAGATION_LIMIT_S = 15.0
-"""Seconds to wait for a version on every router; recorded if it takes longer."""
+"""Longest propagation in seconds that is awaited; a longer one is recorded as this."""
 DRAIN_S = 40.0
 """Seconds that a replaced router may take to finish its accepted calls."""
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_lab_processor.py
@@ -18,9 +18,9 @@
 FORWARD_COST_S = 0.003
 """Seconds of one core to send a call and forward its answer."""
 
-TURNS_PER_CALL = 10
-"""Event loop turns in which a call is read, placed and sent. One turn is delayed by the
-backlog divided by this number."""
+ITERATIONS_PER_CALL = 10
+"""Event loop iterations in which a call is read, placed and sent. One iteration is
+delayed by the backlog divided by this number."""
 
 
 @define
@@ -46,5 +46,5 @@
         while self._sampled_at + SAMPLE_S <= now:
             self._sampled_at += SAMPLE_S
             backlog_s = max(0.0, self._free_at - self._sampled_at)
-            self._lateness.note(backlog_s / TURNS_PER_CALL)
+            self._lateness.note(backlog_s / ITERATIONS_PER_CALL)
             self.guard.adapt(self._sampled_at)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_load.py
@@ -212,7 +212,7 @@
 
 @define(eq=False)
 class Balancer:
-    """Spread calls over routers as the platform's balancer does.
+    """Spread calls over routers as the platform's load balancer does.
 
     `spread` limits the routers that a workspace's calls come to first, so that the load
     on routers is uneven. Routers in `unready` get no calls.
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_traffic.py
@@ -1,4 +1,4 @@
-"""Generate the calls of a scenario's workspaces; the same seed gives the same."""
+"""Generate the calls of a scenario's workspaces; a seed always gives the same."""
 
 from __future__ import annotations
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/demo.py
@@ -130,7 +130,7 @@
             plan, balancer.ranked_addresses(plan.workspace)
         )
         if result.outcome not in ("completed", "left"):
-            # A rejected caller waits before its next call, as Retry-After asks.
+            # A caller whose call was refused or failed waits, as Retry-After asks.
             await anyio.sleep(0.5)
         return result
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/lab.py
@@ -90,7 +90,7 @@
         return self.processor.work(seconds, now) if self.processor else now
 
     def is_busy(self, kind: CallKind) -> bool:
-        """Return whether the overload guard rejects a call of this kind."""
+        """Return whether the overload guard refuses a call of this kind."""
         return self.processor is not None and self.processor.guard.should_shed(kind)
 
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/overhead.py
@@ -57,7 +57,7 @@
     event_times: list[float] = field(factory=list)
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body and the arrival time of its events."""
+        """Append a chunk of the body and record when its events arrived."""
         super().on_body(data)
         self.event_times += [time.monotonic()] * data.count(b"\n\n")
 
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/runner.py
@@ -57,7 +57,7 @@
 CALLERS = "callers"
 ZERO_CONTROL_USAGE = {"bytes_sent": 0, "bytes_received": 0, "cpu_s": 0.0}
 READY_POLL_S = 0.5
-"""Seconds between the balancer's readiness checks of each router."""
+"""Seconds between the load balancer's readiness checks of each router."""
 DRAIN_S = 14.0
 """Seconds that running answers may take to end after the last call was sent."""
 REPORT_DELAY_S = 0.05
@@ -297,7 +297,7 @@
 
 
 def line_of(experiment: Experiment, run: Run, policy: str) -> dict[str, Any]:
-    """Return the measures of a run, one output line."""
+    """Return the measures of a run as the fields of its output line."""
     scenario, faults = experiment.scenario, experiment.faults
     codes = [exit_code(child) for child in experiment.local_fleet.routers.values()]
     return {
--- a/packages/fulmarroad-bench/tests/test_known_red.py
+++ b/packages/fulmarroad-bench/tests/test_known_red.py
@@ -79,16 +79,16 @@
 
     @pytest.mark.parametrize("test", [PASSES, SKIPS, MARKED])
     def test_an_entry_whose_test_does_not_fail_is_an_error(self, tmp_path, test):
-        """If an entry stayed after its fault was fixed, a return of the fault would not
-        fail the run.
+        """Guard against entries that stay after their fault was fixed. A return of the
+        fault would then not fail the run.
         """
         code, text = run_pytest(tmp_path, test)
         assert code == 1
         assert "Remove its entry" in text
 
     def test_a_listed_test_whose_fixture_fails_is_an_error(self, tmp_path):
-        """If the set-up of a listed test fails, the test itself did not run, so this is
-        not the failure that the entry allows.
+        """Guard against tolerating a failed set-up. The listed test itself did not run,
+        so this is not the failure that the entry allows.
         """
         code, _ = run_pytest(tmp_path, FAILS_IN_SET_UP)
         assert code == 1
--- a/packages/fulmarroad-bench/tests/test_lab.py
+++ b/packages/fulmarroad-bench/tests/test_lab.py
@@ -120,8 +120,8 @@
         assert lab.summary(SHORT, again) == lab.summary(SHORT, days["cached"])
 
     def test_cache_aware_placement_beats_placement_by_load(self, days):
-        """Prompts share long parts. A placement by load alone makes every engine read
-        every part again, and callers wait for it.
+        """Guard against placement by load alone. Prompts share long parts, every engine
+        then reads every part again, and callers wait for it.
         """
         cached = lab.summary(SHORT, days["cached"])
         spread = lab.summary(SHORT, days["least_loaded"])
@@ -129,7 +129,9 @@
         assert cached["read_again_part"] < spread["read_again_part"] / 2
 
     def test_small_workspaces_are_not_starved_by_a_surge(self, days):
-        """One workspace sends five times its usual calls; small ones must do better."""
+        """Guard against starved small workspaces while one sends five times its usual
+        calls.
+        """
         rows = lab.summary(SHORT, days["cached"])["by_workspace"]
         small = [rows[f"w{number:02d}"] for number in range(8, 16)]
         assert sum(small) / len(small) > rows["w02"]
@@ -158,17 +160,18 @@
 
 class TestReadingOfParts:
     def test_overload_causes_few_repeated_reads(self):
-        """Calls need twice the reading that engines can do. An engine that briefly
-        seems idle then reads a part that another engine has cached, and calls that the
-        other could have served are refused. More than a tenth of all tokens read were
-        such repeats.
+        """Guard against repeated reads when calls need twice the reading that engines
+        can do. An engine that briefly seems idle then reads a part that another engine
+        has cached, and calls that the other could have served are refused. More than a
+        tenth of all tokens read were such repeats.
         """
         day = lab.summary(OVERLOAD, lab.simulate(OVERLOAD, "cached", 1))
         assert day["read_again_part"] < 0.05
 
     def test_a_popular_part_is_read_by_more_than_one_engine(self, monkeypatch):
-        """A third of all letters share one part, more than one engine can serve. If
-        only that engine read the part, calls would be refused while others are idle.
+        """Guard against refusals while engines are idle. A third of all letters share
+        one part, more than one engine can serve. If only one engine reads the part, it
+        refuses calls that others could serve.
         """
         monkeypatch.setattr(lab, "arrivals", with_hot_part)
         day = lab.simulate(STEADY, "cached", 1, routers=10, engines=10)
@@ -210,10 +213,11 @@
 
 class TestShares:
     def test_a_workspace_at_one_router_gets_its_share(self):
-        """The balancer sends one workspace's calls to a single router, those of others
-        to all sixteen. Each router retries the placement of its held calls, so sixteen
-        routers find free places more often than one, and the workspace gets fewer
-        calls served than others with equal load.
+        """Guard against a smaller share for a workspace whose calls the load balancer
+        sends to a single router, while those of others go to all sixteen. Each router
+        retries the placement of its held calls, so sixteen routers find free places
+        more often than one, and the workspace gets fewer calls served than others with
+        equal load.
         """
         day = lab.simulate(
             EQUAL,
@@ -232,9 +236,10 @@
         assert begun["w00"] >= 0.8 * max(begun.values())
 
     def test_a_workspace_at_one_small_router_gets_its_share(self):
-        """The balancer sends one workspace's calls to a router with a fifth of the
-        others' processor. Most of the calls exceed the workspace's share. If each is
-        refused only after a placement attempt, the router has no time for the rest.
+        """Guard against a smaller share for a workspace whose calls the load balancer
+        sends to a router with a fifth of the others' processor. Most of the calls
+        exceed the workspace's share. If each is refused only after a placement attempt,
+        the router has no time for the rest.
         """
         cores = [0.2] + [1.0] * 7
         day = lab.simulate(
@@ -256,9 +261,10 @@
         assert begun["w00"] >= 0.5 * max(begun.values())
 
     def test_the_largest_workspace_does_not_starve_others(self):
-        """Routers learn of each other's calls a fifth of a second late, at twice the
-        load that engines serve. Workspaces with a third of the largest one's calls then
-        got less than half of those served.
+        """Guard against a largest workspace that starves others when routers learn of
+        each other's calls a fifth of a second late, at twice the load that engines
+        serve. Workspaces with a third of the largest one's calls then got less than
+        half of those served.
         """
         day = lab.simulate(
             UNEQUAL, "cached", 2, routers=16, engines=10, report_delay_s=0.2
--- a/packages/fulmarroad-bench/tests/test_losses.py
+++ b/packages/fulmarroad-bench/tests/test_losses.py
@@ -63,8 +63,8 @@
         assert groups["route"]["r-1"].summary()["median_wait_at_refusal_s"] == 0.05
 
     def test_unrelated_and_truncated_lines_are_ignored(self):
-        """Logs contain lines of other events and programs, and the last line of a
-        killed router is truncated. Such lines must not end the report.
+        """Guard against a report that ends at an unexpected line. Logs contain lines of
+        other events and programs, and the last line of a killed router is truncated.
         """
         cut = lines({})[0][:80]
         rows = ["started", json.dumps({"event": 100}), cut, *lines({})]
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
@@ -15,10 +15,10 @@
 
 CONNECT_TIMEOUT_S = 3.0
 ANSWER_TIMEOUT_S = 10.0
-"""Response timeout in seconds, in addition to the requested wait."""
+"""Timeout for an answer in seconds, in addition to the requested wait."""
 
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-"""Maximum bytes; the tables of 16,000 workspaces are a few megabytes as JSON."""
+"""Maximum size of an answer; tables of 16,000 workspaces are a few megabytes as JSON."""
 
 _HTTP_OK = 200
 _HINTS = {
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
@@ -25,23 +25,23 @@
 """Largest fleet of which all routers are listed; of larger ones only the outliers."""
 
 LATE_S = 0.01
-"""Event loop delay in seconds from which a router rejects callers."""
+"""Event loop delay in seconds from which a router refuses calls."""
 
 
 def fetch_statuses(addresses: Iterable[str]) -> dict[str, Any]:
     """Fetch the status of each router by address; an `error` entry if that fails."""
     answers: dict[str, Any] = {}
     for address in addresses:
-        reply = AdminClient(f"http://{address}", "").get("/status")
-        if isinstance(reply, Ok):
-            answers[address] = reply.ok_value
+        result = AdminClient(f"http://{address}", "").get("/status")
+        if isinstance(result, Ok):
+            answers[address] = result.ok_value
         else:
-            answers[address] = {"error": reply.err_value.message}
+            answers[address] = {"error": result.err_value.message}
     return answers
 
 
 def differing_fields(answers: Mapping[str, Any]) -> list[str]:
-    """Return the names of the fields in which the answers of routers differ."""
+    """Return the names of the fields in which the routers' answers differ."""
     rows = [row for row in answers.values() if "error" not in row]
     found = []
     for name, value in (
@@ -75,12 +75,12 @@
 
 def _select_outliers(answers: Mapping[str, Any]) -> dict[str, Any]:
     """Return the routers whose state differs from most, or whose event loop is late."""
-    beliefs = {address: _state_key(row) for address, row in answers.items()}
-    [(most_common, _)] = Counter(beliefs.values()).most_common(1)
+    state_keys = {address: _state_key(row) for address, row in answers.items()}
+    [(most_common, _)] = Counter(state_keys.values()).most_common(1)
     return {
         address: row
         for address, row in answers.items()
-        if beliefs[address] != most_common or row.get("loop_late_s", 0.0) >= LATE_S
+        if state_keys[address] != most_common or row.get("loop_late_s", 0.0) >= LATE_S
     }
 
 
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_router_tables.py
@@ -12,7 +12,7 @@
 
 
 def parse_router_tables(document: dict[str, Any]) -> Tables:
-    """Parse the tables of an admin port's answer, which has only numbers of keys.
+    """Parse the tables of an admin port's answer, which has key counts, not hashes.
 
     Raise `RouterError` if the answer can't be parsed.
     """
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/commands.py
@@ -116,7 +116,7 @@
         Args:
             admin: URL of the router's admin port.
             token_file: file with the admin token.
-            settings: the router's settings, in place of the two.
+            settings: the router's settings, in place of --admin and --token_file.
             json: print JSON.
 
         """
@@ -160,7 +160,7 @@
             workspace: name of the workspace that calls.
             admin: URL of the router's admin port.
             token_file: file with the admin token.
-            settings: the router's settings, in place of the two.
+            settings: the router's settings, in place of --admin and --token_file.
             json: print JSON.
 
         """
@@ -191,7 +191,7 @@
             follow: wait for new records; --follow=false ends after the stored ones.
             admin: URL of the router's admin port.
             token_file: file with the admin token.
-            settings: the router's settings, in place of the two.
+            settings: the router's settings, in place of --admin and --token_file.
             json: print JSON.
 
         """
@@ -234,7 +234,7 @@
             against_pools: files of the pools table to compare with.
             admin: URL of the admin port of a router to compare with.
             token_file: file with the admin token.
-            settings: the router's settings, in place of the two.
+            settings: the router's settings, in place of --admin and --token_file.
             json: print JSON.
 
         """
@@ -269,7 +269,7 @@
         Args:
             admin: URL of the router's admin port.
             token_file: file with the admin token.
-            settings: the router's settings, in place of the two.
+            settings: the router's settings, in place of --admin and --token_file.
             json: print JSON.
 
         """
@@ -349,7 +349,7 @@
 def _cross_check_warnings(
     settings: Settings | None, tables: Tables | None
 ) -> list[str]:
-    """Return conflicts between settings and tables that are valid by themselves."""
+    """Return conflicts between settings and tables that are each valid on their own."""
     if settings is None or tables is None:
         return []
     warnings = []
--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -22,7 +22,7 @@
 
 
 class AdminError(Exception):
-    """Fail an operator's request with an HTTP status and a message."""
+    """Report an error to an operator, as an HTTP status and a message."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
--- a/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admitting.py
@@ -1,4 +1,4 @@
-"""Admit calls at one router, and refuse early those that would miss their deadline."""
+"""Admit calls at one router and refuse those early that would miss their deadline."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
             raise Refused(refusal.reason, refusal.retry_after_s)
 
     def leave(self, demand_id: str) -> None:
-        """Remove a call from the waiting ones."""
+        """Remove a call from the waiting calls."""
         self._admission.leave(demand_id)
 
     def begin(self, call: Call) -> None:
--- a/packages/fulmarroad-router/src/fulmarroad_router/app.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/app.py
@@ -210,7 +210,7 @@
     ) -> None:
         """Send an error response, or abort an answer that has begun.
 
-        Raises `AnswerBroken` where the answer has begun.
+        Raise `AnswerBroken` if the answer has begun.
         """
         fields = {
             "request_id": context.request_id,
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -94,7 +94,8 @@
 async def read_body(headers: Headers, receive: Receive, max_bytes: int) -> bytes:
     """Return a request's body.
 
-    Raises `BodyTooLarge` above `max_bytes`, and `CallerDisconnected`.
+    Raise `BodyTooLarge` above `max_bytes`, and `CallerDisconnected` if the caller
+    disconnects before the end of the body.
     """
     length = next((value for name, value in headers if name == b"content-length"), b"")
     if length and (not length.isdigit() or int(length) > max_bytes):
@@ -116,16 +117,16 @@
 ) -> None:
     """Run a call, and cancel it if its caller disconnects before the answer ends.
 
-    Raises `CallerDisconnected` after a cancellation.
+    Raise `CallerDisconnected` after a cancellation.
     """
-    left = False
+    disconnected = False
 
     async def watch_for_disconnect() -> None:
-        nonlocal left
+        nonlocal disconnected
         while (await receive())["type"] != "http.disconnect":
             pass
         if not responder.finished:
-            left = True
+            disconnected = True
             group.cancel_scope.cancel()
 
     failure: CallError | None = None
@@ -138,7 +139,7 @@
         group.cancel_scope.cancel()
     if failure is not None:
         raise failure
-    if left:
+    if disconnected:
         raise CallerDisconnected
 
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/calls.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/calls.py
@@ -88,7 +88,7 @@
     def continues_after_disconnect(self) -> bool:
         """Return whether a sent call continues after its caller disconnects.
 
-        A call that may not be repeated runs to its end, so that the caller's next
+        A call that must not be repeated runs to its end, so that the caller's next
         attempt with the same key gets its outcome.
         """
         return bool(self.idempotency_key) and not self.route.repeatable
--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -1,4 +1,4 @@
-"""Run calls that may not be repeated at most once for each idempotency key.
+"""Run a call that must not be repeated at most once for each idempotency key.
 
 A caller whose connection broke repeats its call and may reach another router, another
 data centre, or the same router after a restart. Without this module each of them would
@@ -91,7 +91,8 @@
     async def run(self, call: Call, responder: Responder) -> None:
         """Run a call, or replay the stored answer if its key has already run.
 
-        Raises `CallError`. Calls without a key and repeatable ones run unchecked.
+        Raise `CallError` on failure. Calls without a key and repeatable ones run
+        unchecked.
         """
         if not call.idempotency_key or call.route.repeatable:
             await self._runner.run(call, responder)
--- a/packages/fulmarroad-router/src/fulmarroad_router/sse.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/sse.py
@@ -51,7 +51,7 @@
     def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Add a chunk and return the events that it completes.
 
-        Raises `EventTooLarge` if the incomplete event exceeds `MAX_EVENT_BYTES`.
+        Raise `EventTooLarge` if the incomplete event exceeds `MAX_EVENT_BYTES`.
         """
         buffer = (self._buffer + chunk).replace(b"\r\n", b"\n")
         *blocks, self._buffer = buffer.split(b"\n\n")
