--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_state.py
@@ -262,7 +262,7 @@
     seal = PacketSeal(b"s" * 32)
     count = [0, 0]
 
-    def run_period(first_tick: int) -> None:
+    def second(first_tick: int) -> None:
         for tick in range(first_tick, first_tick + 10):
             now = tick * TICK_S
             pending = deque(row for swim in fleet.values() for row in swim.tick(now))
@@ -275,10 +275,10 @@
 
     # In the first periods, each member also announces itself to the others.
     for period in range(SETTLE_PERIODS):
-        run_period(10 * period)
+        second(10 * period)
     count[:] = [0, 0]
     periods = iter(range(SETTLE_PERIODS, SETTLE_PERIODS + PROBE_PERIODS))
-    fastest = best_us(lambda: run_period(10 * next(periods)), repeats=PROBE_PERIODS)
+    fastest = best_us(lambda: second(10 * next(periods)), repeats=PROBE_PERIODS)
     return count[0], count[1], fastest * PROBE_PERIODS
 
 
--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_fleet_status.py
@@ -75,12 +75,12 @@
 
 def _select_outliers(answers: Mapping[str, Any]) -> dict[str, Any]:
     """Return the routers whose state differs from most, or whose event loop is late."""
-    state_keys = {address: _state_key(row) for address, row in answers.items()}
-    [(most_common, _)] = Counter(state_keys.values()).most_common(1)
+    beliefs = {address: _state_key(row) for address, row in answers.items()}
+    [(most_common, _)] = Counter(beliefs.values()).most_common(1)
     return {
         address: row
         for address, row in answers.items()
-        if state_keys[address] != most_common or row.get("loop_late_s", 0.0) >= LATE_S
+        if beliefs[address] != most_common or row.get("loop_late_s", 0.0) >= LATE_S
     }
 
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI helpers: read request bodies, send answers, detect disconnected callers."""
+"""ASGI helpers: read request bodies, send answers, detect left callers."""
 
 from __future__ import annotations
 
@@ -119,14 +119,14 @@
 
     Raise `CallerDisconnected` after a cancellation.
     """
-    disconnected = False
+    left = False
 
     async def watch_for_disconnect() -> None:
-        nonlocal disconnected
+        nonlocal left
         while (await receive())["type"] != "http.disconnect":
             pass
         if not responder.finished:
-            disconnected = True
+            left = True
             group.cancel_scope.cancel()
 
     failure: CallError | None = None
@@ -139,7 +139,7 @@
         group.cancel_scope.cancel()
     if failure is not None:
         raise failure
-    if disconnected:
+    if left:
         raise CallerDisconnected
 
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/backend.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/backend.py
@@ -95,13 +95,13 @@
 
     def __init__(
         self,
-        connections: httpcore.AsyncConnectionPool,
-        pool: Pool,
+        pool: httpcore.AsyncConnectionPool,
+        table: Pool,
         server: BackendServer,
         request: BackendRequest,
     ) -> None:
-        self._connections = connections
         self._pool = pool
+        self._settings = table
         self._server = server
         self._request = request
         self._response: httpcore.Response | None = None
@@ -126,7 +126,7 @@
             raise FailedAfterSend(
                 "The connection to the backend server failed before its answer."
             ) from error
-        return BackendResponse(self._response, self._pool.idle_timeout_s)
+        return BackendResponse(self._response, self._settings.idle_timeout_s)
 
     async def __aexit__(
         self,
@@ -139,7 +139,7 @@
                 await self._response.aclose()
 
     async def _open(self) -> httpcore.Response:
-        pool = self._pool
+        table = self._settings
         request = httpcore.Request(
             method=self._request.method,
             url=f"http://{self._server.address}".encode() + self._request.target,
@@ -147,18 +147,18 @@
             content=self._request.body,
             extensions={
                 "timeout": {
-                    "connect": pool.connect_timeout_s,
-                    "read": pool.first_byte_timeout_s,
-                    "write": pool.idle_timeout_s,
-                    "pool": pool.connect_timeout_s,
+                    "connect": table.connect_timeout_s,
+                    "read": table.first_byte_timeout_s,
+                    "write": table.idle_timeout_s,
+                    "pool": table.connect_timeout_s,
                 },
                 "trace": self._trace,
             },
         )
-        response = await self._connections.handle_async_request(request)
+        response = await self._pool.handle_async_request(request)
         # httpcore reads the timeout again for the body, so the wait for the first byte
         # and the idle time between chunks can have different limits.
-        request.extensions["timeout"]["read"] = pool.idle_timeout_s
+        request.extensions["timeout"]["read"] = table.idle_timeout_s
         return response
 
     async def _trace(self, event: str, info: dict[str, Any]) -> None:
@@ -175,7 +175,7 @@
 
     def call(
         self,
-        pool: Pool,
+        table: Pool,
         server: BackendServer,
         request: BackendRequest,
         *,
@@ -187,8 +187,8 @@
         kept-alive one just as the call is sent, and that failure can't be distinguished
         from a call that ran.
         """
-        connections = self._keepalive_pool if repeatable else self._single_use_pool
-        return BackendCall(connections, pool, server, request)
+        pool = self._keepalive_pool if repeatable else self._single_use_pool
+        return BackendCall(pool, table, server, request)
 
     async def close(self) -> None:
         """Close every connection."""
--- a/packages/fulmarroad-router/tests/router_bed.py
+++ b/packages/fulmarroad-router/tests/router_bed.py
@@ -163,7 +163,7 @@
     seen: list = field(factory=list)
     read: list = field(factory=list)
 
-    def call(self, pool, server, request, *, repeatable):
+    def call(self, table, server, request, *, repeatable):
         script = self.scripts.pop(0) if self.scripts else Script()
         self.seen.append((server.name, request))
         return ScriptedCall(script, request, self.read)
