--- a/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
+++ b/packages/fulmarroad-ctl/src/fulmarroad_ctl/_client.py
@@ -18,7 +18,7 @@
 """Timeout for an answer in seconds, in addition to the requested wait."""
 
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-"""Maximum size of an answer; tables of 16,000 workspaces are a few megabytes as JSON."""
+"""Maximum size of an answer; tables of 16,000 workspaces are a few megabytes (JSON)."""
 
 _HTTP_OK = 200
 _HINTS = {
--- a/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI helpers: read request bodies, send answers, detect left callers."""
+"""ASGI helpers: read request bodies, send answers, detect disconnected callers."""
 
 from __future__ import annotations
 
--- a/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/keyed.py
@@ -1,4 +1,4 @@
-"""Run a call that must not be repeated at most once for each idempotency key.
+"""Run calls with the same idempotency key at most once, unless they are repeatable.
 
 A caller whose connection broke repeats its call and may reach another router, another
 data centre, or the same router after a restart. Without this module each of them would
--- a/packages/fulmarroad-router/tests/test_metering.py
+++ b/packages/fulmarroad-router/tests/test_metering.py
@@ -31,8 +31,8 @@
 
     def test_non_streaming_answer_has_no_time_to_first_token(self, clock):
         # The first byte of an answer that isn't streamed arrives after the last token.
-        # Counted as the first token, it was so late that each such answer reset a
-        # server that was warming up to cold.
+        # Counted as the first token, it was so late that each such answer set a server
+        # that was warming up back to cold.
         meter = Meter(clock, non_streaming=True)
         clock.now = 5.0
         meter.record_chunk(0)
