--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_client.py
@@ -92,7 +92,10 @@
 async def call_any(
     addresses: Iterable[str], request: Request, **options: float | None
 ) -> Answer:
-    """Send a request to the first address that accepts a connection."""
+    """Send a request to the first address that accepts a connection.
+
+    Return its answer, or an empty one if no address accepts.
+    """
     answer = Answer(sent_at=time.monotonic(), end_at=time.monotonic())
     sent_at = answer.sent_at
     for address in addresses:
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_processes.py
@@ -211,7 +211,10 @@
 
 
 async def wait_ready(child: Child, address: str, path: str = "/readyz") -> None:
-    """Wait until a process answers 200; raise `ProcessError` after `READY_S`."""
+    """Wait until a process answers 200.
+
+    Raise `ProcessError` if it exits or takes longer than `READY_S`.
+    """
     with anyio.move_on_after(READY_S):
         while not child.ended:
             answer = await call(address, Request("GET", path), timeout_s=2.0)
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_scenario.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_scenario.py
@@ -180,7 +180,7 @@
         return float(value)
 
     def build(self, kind: type, where: str, raw: Any) -> Any:
-        """Return a table as an instance of `kind`, or None if a field is missing."""
+        """Return a table as an instance of `kind`; None if no table or incomplete."""
         if not isinstance(raw, Mapping):
             self.problems.append(f"{where}: is not a table")
             return None
--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_server.py
@@ -42,7 +42,7 @@
     body: bytes
 
     def json(self) -> Any:
-        """Return the parsed JSON body, or an empty object if it has none."""
+        """Return the parsed JSON body, or an empty object if it is empty or invalid."""
         try:
             return json.loads(self.body) if self.body else {}
         except ValueError:
--- a/packages/fulmarroad-ctl/tests/test_admin_tls.py
+++ b/packages/fulmarroad-ctl/tests/test_admin_tls.py
@@ -47,8 +47,7 @@
 
 
 class TestAdminOverTls:
-    """
-    Guard against a leak of the admin token when an operator queries a router across
+    """Guard against a leak of the admin token when an operator queries a router across
     the network. Without TLS, or with a client that accepts a certificate of another
     authority, an attacker could read the token and drain the fleet.
     """
--- a/packages/fulmarroad-ctl/tests/test_ctl.py
+++ b/packages/fulmarroad-ctl/tests/test_ctl.py
@@ -283,8 +283,7 @@
         )
 
     def test_follows_from_the_last_record_until_the_router_stops(self, run, admin):
-        """
-        Guard against a command that keeps waiting after the router has shut down.
+        """Guard against a command that keeps waiting after the router has shut down.
         The operator would conclude that nothing changes. It must exit with an error.
         """
         answer = FakeAdmin.answer
@@ -410,8 +409,8 @@
 
     def test_large_fleet_lists_only_outliers(self):
         """Guard against outliers hidden in a long list. One of two hundred routers has
-        old tables and another has reached its CPU limit; operators would overlook both
-        among two hundred lines.
+        old tables and another has reached its processor limit; operators would overlook
+        both among two hundred lines.
         """
         answers = {f"h:{n}": self.answer(7) for n in range(200)}
         answers["h:42"] = self.answer(6) | {"router": "behind"}
--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -36,7 +36,7 @@
         """Return whether the process is alive."""
 
     def ready(self) -> bool:
-        """Return whether the router accepts calls."""
+        """Return whether the load balancer may send calls."""
 
     def status(self) -> dict[str, Any]:
         """Return the router's state."""
--- a/packages/fulmarroad-router/src/fulmarroad_router/operations.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/operations.py
@@ -58,7 +58,7 @@
         return True
 
     def ready(self) -> bool:
-        """Return whether the router accepts calls."""
+        """Return whether the load balancer may send calls."""
         return self._gate.ready
 
     def status(self) -> dict[str, Any]:
--- a/packages/fulmarroad-router/tests/test_http_server.py
+++ b/packages/fulmarroad-router/tests/test_http_server.py
@@ -62,7 +62,7 @@
     def test_idle_server_sets_no_periodic_timers(self):
         """Guard against idle servers that wake ten times a second. A router runs four
         servers and a fleet has hundreds of routers, so the wake-ups would constantly
-        use CPU time on each small VM.
+        use processor time on each small VM.
         """
 
         async def test():
--- a/packages/fulmarroad-router/tests/test_reports.py
+++ b/packages/fulmarroad-router/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of the cost and times that each attempt of a call reports."""
+"""Tests of the cost and times that each try of a call reports."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 class CallHarness:
-    """Run one call whose attempts get the given answers in order."""
+    """Run one call whose tries get the given answers in order."""
 
     def __init__(self):
         self.now = 0.0
--- a/packages/fulmarroad-router/tests/test_settings.py
+++ b/packages/fulmarroad-router/tests/test_settings.py
@@ -88,8 +88,7 @@
 
 
 class TestNonLoopback:
-    """
-    Guard against a router that listens on a real network without certificates or
+    """Guard against a router that listens on a real network without certificates or
     signed packets. Any host there could then impersonate a router, take leases or read
     the admin token without being noticed.
     """
