--- a/packages/fulmarroad-router/src/fulmarroad_router/admin.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/admin.py
@@ -22,7 +22,7 @@
 
 
 class AdminError(Exception):
-    """Fail an operator's request with an HTTP status and a message."""
+    """Report an error to an operator, as an HTTP status and a message."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -36,7 +36,7 @@
         """Return whether the process is alive."""
 
     def ready(self) -> bool:
-        """Return whether the router accepts calls."""
+        """Return whether the load balancer may send calls."""
 
     def status(self) -> dict[str, Any]:
         """Return the router's state."""
--- a/packages/fulmarroad-router/src/fulmarroad_router/backend.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/backend.py
@@ -23,7 +23,7 @@
 KEEPALIVE_S = 10.0
 
 _SEND_EVENTS = {"http11.send_request_headers.started"}
-"""First trace event of httpcore after which bytes may have been sent."""
+"""Trace events of httpcore after which bytes of the request may have been sent."""
 
 
 class BackendError(FulmarroadError):
@@ -71,7 +71,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body; raise `FailedAfterSend` if it is interrupted.
 
-        Raises `TimedOutAfterSend` if the backend server sends nothing for too long.
+        Raise `TimedOutAfterSend` if the backend server sends nothing for too long.
         """
         try:
             async for chunk in self._response.aiter_stream():
@@ -183,7 +183,7 @@
     ) -> BackendCall:
         """Return a call, which is sent when its context is entered.
 
-        A call that may not be repeated gets a new connection. The server may close a
+        A call that must not be repeated gets a new connection. The server may close a
         kept-alive one just as the call is sent, and that failure can't be distinguished
         from a call that ran.
         """
