--- a/packages/fulmarroad/src/fulmarroad/_acceptance.py
+++ b/packages/fulmarroad/src/fulmarroad/_acceptance.py
@@ -90,7 +90,7 @@
 
     @property
     def in_force(self) -> Tables | None:
-        """Return the tables in force, or none before the first valid version."""
+        """Return the tables in force, or `None` before the first valid version."""
         return self._current.tables if self._current else None
 
     @property
--- a/packages/fulmarroad/src/fulmarroad/_admission.py
+++ b/packages/fulmarroad/src/fulmarroad/_admission.py
@@ -61,7 +61,7 @@
 """Maximum Retry-After: estimates further ahead are not reliable."""
 
 NO_SERVERS_RETRY_AFTER_S = 5.0
-"""Retry-After while no server accepts work: a table change takes effect within 5 s."""
+"""Retry-After while no server takes work: a table change takes effect within 5 s."""
 
 
 @frozen
@@ -69,7 +69,7 @@
     """Describe the load of a pool as a router knows it when a request arrives.
 
     `wait_s` is the shortest wait that the pool's schedulers estimate, `servers` the
-    number of backend servers that accept work, and `remaining_s` the time to the
+    number of backend servers that take work, and `remaining_s` the time to the
     request's own deadline (infinite if the caller set none).
     """
 
--- a/packages/fulmarroad/src/fulmarroad/_codec.py
+++ b/packages/fulmarroad/src/fulmarroad/_codec.py
@@ -63,13 +63,13 @@
 def _check_number(value: Any, cls: Any) -> Any:
     if type(value) is cls or (cls is float and type(value) is int):
         return cls(value)
-    raise ValueError(f"{value!r} is not a valid {cls.__name__}")
+    raise ValueError(f"{value!r} is no {cls.__name__}")
 
 
 def _check_text(value: Any, _: type) -> str:
     if type(value) is str:
         return value
-    raise ValueError(f"{value!r} is not a string")
+    raise ValueError(f"{value!r} is no text")
 
 
 # By default cattrs converts "3" to 3 and 3 to "3", which would hide a faulty peer.
@@ -122,7 +122,7 @@
 def _unpack_member(row: Any, _: type) -> m.MemberUpdate:
     router, incarnation, state, centre, host, peer_port, gossip_port = row[:7]
     if not 0 <= _check_number(incarnation, int) < MAX_INCARNATION:
-        raise ValueError(f"{incarnation!r} is not a valid incarnation")
+        raise ValueError(f"{incarnation!r} is no incarnation")
     return m.MemberUpdate(
         _check_text(router, str),
         incarnation,
@@ -153,14 +153,14 @@
     Raise `MessageError` for anything that `encode` could not have produced.
     """
     if len(frame) > MAX_MESSAGE_BYTES:
-        raise MessageError(f"The frame of {len(frame)} bytes is too large.")
+        raise MessageError(f"A frame of {len(frame)} bytes is too large.")
     try:
         rows = msgpack.unpackb(frame, raw=False, strict_map_key=True)
         return tuple(_decode_message(row) for row in rows)
     except MessageError:
         raise
     except Exception as error:
-        raise MessageError(f"The frame could not be decoded: {error}") from error
+        raise MessageError(f"A frame could not be read: {error}") from error
 
 
 def decode_one(frame: bytes, cls: type[T]) -> T:
@@ -170,7 +170,7 @@
     """
     messages = decode(frame)
     if len(messages) != 1 or not isinstance(messages[0], cls):
-        raise MessageError(f"Expected exactly one {cls.__name__} message.")
+        raise MessageError(f"Expected one {cls.__name__}.")
     return messages[0]
 
 
@@ -178,7 +178,7 @@
     tag, payload = tagged
     cls = _TAGS.get(tag)
     if cls is None:
-        raise MessageError(f"Unknown message tag {tag!r}.")
+        raise MessageError(f"No message has the tag {tag!r}.")
     if not isinstance(payload, dict):
-        raise MessageError(f"The payload of {cls.__name__} is not a map.")
+        raise MessageError(f"The payload of {cls.__name__} is no map.")
     return _converter.structure(payload, cls)
--- a/packages/fulmarroad/src/fulmarroad/_config_source.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_source.py
@@ -29,7 +29,7 @@
 
 @frozen
 class SourceReply:
-    """Hold a value and its etag; `body` is none if the value has not changed."""
+    """Hold a value and its entity tag; `body` is `None` if it has not changed."""
 
     etag: str
     body: bytes | None
--- a/packages/fulmarroad/src/fulmarroad/_config_task.py
+++ b/packages/fulmarroad/src/fulmarroad/_config_task.py
@@ -41,8 +41,8 @@
 WATCHERS_PER_DATA_CENTRE = 2
 """Watchers in each data centre.
 
-With two, a data centre can lose one watcher and still need not wait for a slow poll.
-The service counts long polls of at most this many routers per data centre."""
+With two, a data centre that loses one watcher need not wait for a slow poll. The number
+also bounds the long polls that the service has to count per data centre."""
 
 MANIFEST_PERIOD_S = 60.0
 """Mean seconds between slow reads of the manifest.
@@ -72,7 +72,7 @@
 """Seconds until a starting router asks its peers again."""
 
 MAX_REMEMBERED_REFUSALS = 64
-"""Maximum number of refusals remembered as logged.
+"""Maximum number of logged refusals that are remembered.
 
 A refusal is logged once; otherwise a version that is offered repeatedly, for example by
 a stale service, would fill the log."""
--- a/packages/fulmarroad/src/fulmarroad/_keygroup.py
+++ b/packages/fulmarroad/src/fulmarroad/_keygroup.py
@@ -76,7 +76,7 @@
     send_deadline: float  # on this router's clock
 
     def may_send(self, now: float) -> bool:
-        """Return whether it may still be sent; check right before its first byte."""
+        """Return whether it may still be sent; call right before its first byte."""
         return now < self.send_deadline
 
 
--- a/packages/fulmarroad/src/fulmarroad/_keyrecords.py
+++ b/packages/fulmarroad/src/fulmarroad/_keyrecords.py
@@ -35,7 +35,10 @@
 
 
 class KeyState(enum.StrEnum):
-    """List the states of a key's record; later ones take precedence."""
+    """List the states of a key's record; later ones take precedence.
+
+    `UNABLE` occurs only in replies: the member neither votes nor stores a record.
+    """
 
     ABSENT = "absent"
     FENCED = "fenced"
--- a/packages/fulmarroad/src/fulmarroad/_messages.py
+++ b/packages/fulmarroad/src/fulmarroad/_messages.py
@@ -156,7 +156,7 @@
 
 @frozen
 class Goodbye:
-    """Stop following a scheduler that has no demand or lease of the sender."""
+    """Stop following a scheduler, which drops the sender's demands, not its leases."""
 
     shard: ShardId
     router: RouterName
@@ -212,7 +212,8 @@
     """Describe a backend server as its scheduler sees it now.
 
     `informed` is false while the scheduler has neither seen an answer of the server nor
-    received its predecessor's status; a successor must not use this status as a hint.
+    received the former scheduler's status; the next scheduler must not use this status
+    as a hint.
     """
 
     server: ServerName
@@ -238,7 +239,7 @@
 
 @frozen
 class StepDown:
-    """Give up the scheduler role cleanly; followers switch to the next scheduler."""
+    """Release the scheduler role cleanly; followers switch to the next scheduler."""
 
     shard: ShardId
     epoch: Epoch
--- a/packages/fulmarroad/src/fulmarroad/_placement.py
+++ b/packages/fulmarroad/src/fulmarroad/_placement.py
@@ -119,7 +119,7 @@
     *,
     mean_cost: float | None = None,
 ) -> Unit | None:
-    """Return the free unit for a demand, or None if it avoids all servers with one.
+    """Return a free unit for a demand, or None if it avoids every server that has one.
 
     The order is: the longest cached prefix on a server whose load is within
     `LOAD_BOUND` of the mean, then warm before warming before cold, then the lowest
@@ -154,12 +154,11 @@
 ) -> ShardId | None:
     """Return the shard to ask, or None if there is none.
 
-    Unreachable shards come last, before them those in `avoid`, which were asked
-    already. The order of the others is: the shortest expected wait, shards with free
-    units, those of the own data centre, the longest cached prefix. Shards that are
-    still equal are chosen by the hash of `key`, weighted by their free units: routers
-    have the same heartbeats, and if all of them chose the emptiest shard they would
-    fill it together.
+    Unreachable shards rank last, and those in `avoid`, which were asked already, just
+    before them. The others rank by the shortest expected wait, then by free units, the
+    own data centre and the longest cached prefix. Ties are broken by the hash of `key`,
+    weighted by the free units: routers have the same heartbeats, and if all of them
+    chose the emptiest shard they would fill it together.
     """
     ranked = sorted(views, key=lambda view: _shard_order(view, avoid, key))
     return ranked[0].shard if ranked else None
--- a/packages/fulmarroad/src/fulmarroad/_rebalance.py
+++ b/packages/fulmarroad/src/fulmarroad/_rebalance.py
@@ -144,8 +144,8 @@
         """Return moves of the next demands to shards with units free now or soon.
 
         A shard gets a demand for each free unit, and one for each request that it is
-        expected to end before its next report. Of the latter kind only those are sent
-        that exceed what this shard itself is expected to end in the same time.
+        expected to complete before its next report. Demands of the latter kind are sent
+        only if this shard itself is not expected to serve them in the same time.
         """
         peers = sorted(self._recent_peers(now), key=self._locality_key)
         targets = [peer for peer in peers for _ in range(peer.free_quota)]
@@ -234,7 +234,7 @@
 
 
 def lookahead(units: int, mean_s: float, interval_s: float) -> int:
-    """Return how many requests the units are expected to end before the next report."""
+    """Return how many requests are expected to end before the next report."""
     if mean_s <= 0:
         return 0
     seconds = max(MIN_LOOKAHEAD_S, LOOKAHEAD_INTERVALS * interval_s)
--- a/packages/fulmarroad/src/fulmarroad/_rendezvous.py
+++ b/packages/fulmarroad/src/fulmarroad/_rendezvous.py
@@ -120,7 +120,7 @@
 ) -> tuple[RouterName, ...]:
     """Return the live routers of a data centre that read the configuration service.
 
-    The other routers fetch a new version from their peers, because the request rate
+    The other routers fetch a new version from their peers, because the capacity
     of the service grows more slowly than the fleet.
     """
     return _ranked(f"watch\0{subject}", live)[:count]
--- a/packages/fulmarroad/src/fulmarroad/_retries.py
+++ b/packages/fulmarroad/src/fulmarroad/_retries.py
@@ -29,8 +29,8 @@
 one in a hundred."""
 
 RETRY_BURST = 10.0
-"""Maximum number of saved retries: the requests that run at one server when it dies, as
-seen from one of several routers."""
+"""Maximum number of saved retries: the requests that run at one server when it fails,
+as seen from one of several routers."""
 
 MAX_ATTEMPTS = 3
 """Maximum number of attempts per request: after failures at two servers, the cause of a
--- a/packages/fulmarroad/src/fulmarroad/_shifting.py
+++ b/packages/fulmarroad/src/fulmarroad/_shifting.py
@@ -22,8 +22,8 @@
 
 HOLD_BASE_S = 2.0
 """Time that a data centre must be in service before it gets work. New tables need this
-long to take effect on most routers; earlier, some routers would send work that others
-don't."""
+long to take effect on most routers; before that, only some routers would send it
+work."""
 
 HOLD_CAP_S = 64.0
 """Maximum hold. A data centre that flaps for a quarter of an hour loses about one
@@ -121,7 +121,7 @@
     def share(self, data_centre: DataCentreName, now: float) -> float:
         """Return the share of its usual new work that a data centre gets, from 0 to 1.
 
-        It is 1 during the ramp too where no other data centre accepts work.
+        During the ramp it is also 1 if no other data centre takes work.
         """
         share = self._ramp_share(data_centre, now)
         if share > 0 and not self._others_accept_work(data_centre):
@@ -129,7 +129,7 @@
         return share
 
     def takes_work(self, data_centre: DataCentreName, now: float) -> bool:
-        """Return whether a data centre accepts any new work."""
+        """Return whether a data centre takes any new work."""
         return self.share(data_centre, now) > 0
 
     def accepts(self, data_centre: DataCentreName, key: str, now: float) -> bool:
--- a/packages/fulmarroad/src/fulmarroad/types.py
+++ b/packages/fulmarroad/src/fulmarroad/types.py
@@ -30,7 +30,7 @@
     """Identify one period in which a router holds a scheduler's role.
 
     `incarnation` is that of the router, so that a restarted router never repeats an
-    epoch. `term` counts how often this incarnation has taken the role.
+    epoch. `term` increases each time that this incarnation acquires a role.
     """
 
     router: RouterName
--- a/packages/fulmarroad/tests/test_acceptance.py
+++ b/packages/fulmarroad/tests/test_acceptance.py
@@ -34,7 +34,7 @@
 
 class TableExchange(RuleBasedStateMachine):
     """
-    Guards against a router that returns to an older version and so applies rules that
+    Guard against a router that returns to an older version and so applies rules that
     operators have withdrawn. Routers read a service that may be stale and exchange
     tables in messages that are lost, delayed, duplicated or damaged, while some routers
     restart without any tables.
--- a/packages/fulmarroad/tests/test_config_source.py
+++ b/packages/fulmarroad/tests/test_config_source.py
@@ -70,7 +70,7 @@
 
 class TestFailures:
     """
-    Guards against a polling task that ends with an unexpected exception, so that no
+    Guard against a polling task that ends with an unexpected exception, so that no
     change arrives any more. The service refuses connections, closes them early, or
     sends invalid or oversized answers; each must raise the one error that is handled.
     """
--- a/packages/fulmarroad/tests/test_configuration.py
+++ b/packages/fulmarroad/tests/test_configuration.py
@@ -270,7 +270,7 @@
 class TestPropagation:
     def test_a_change_reaches_every_router_within_seconds_with_few_reads(self):
         """
-        Guards against every router reading each change from the service. Only 6 of the
+        Guard against every router reading each change from the service. Only 6 of the
         36 routers watch; if all did, the service would receive six times as many calls.
         """
 
@@ -298,7 +298,7 @@
     @pytest.mark.parametrize("fault", ["ignores_wait", "gives_etag"])
     def test_a_service_that_answers_long_polls_at_once_is_not_flooded(self, fault):
         """
-        Guards against watchers that poll without a pause. A proxy in front of the
+        Guard against watchers that poll without a pause. A proxy in front of the
         service drops `Prefer: wait` or the entity tag, so each long poll returns at
         once.
         """
@@ -314,7 +314,7 @@
 
     def test_other_routers_become_watchers_when_the_watchers_are_lost(self):
         """
-        Guards against a change that waits for a slow poll, a minute or more, because
+        Guard against a change that waits for a slow poll, a minute or more, because
         both watchers of each data centre are down and no other router replaces them.
         """
 
@@ -333,7 +333,7 @@
 class TestServiceDown:
     def test_tables_stay_in_force_and_calls_stay_few(self, caplog):
         """
-        Guards against lost tables while the configuration service is down for five
+        Guard against lost tables while the configuration service is down for five
         minutes, and against retries of all routers in the same second, which would
         overload it when it returns.
         """
@@ -359,7 +359,7 @@
 
     def test_a_part_that_cannot_be_read_is_read_again(self):
         """
-        Guards against a version that is never accepted because its manifest was
+        Guard against a version that is never accepted because its manifest was
         published before its parts. It must be accepted once the parts exist, although
         the manifest does not change again.
         """
@@ -379,7 +379,7 @@
 class TestStaleService:
     def test_a_lower_version_is_refused_and_logged_once(self, caplog):
         """
-        Guards against sending work to a data centre that is out of service because the
+        Guard against sending work to a data centre that is out of service because the
         configuration service was restored from an old copy. The log reports the lower
         version.
         """
@@ -398,7 +398,7 @@
 
     def test_a_restarted_router_uses_the_version_of_its_peers(self):
         """
-        Guards against a router that restarts without tables while the service is stale
+        Guard against a router that restarts without tables while the service is stale
         and serves with the stale version. It must ask its peers first.
         """
 
@@ -415,7 +415,7 @@
 
     def test_a_restarted_router_does_not_serve_before_it_finds_peers(self):
         """
-        Guards against a restarted router that serves with an old version for a second:
+        Guard against a restarted router that serves with an old version for a second:
         it reads the stale service before membership has found any peer.
         """
 
@@ -442,7 +442,7 @@
         self, monkeypatch, max_reply_bytes
     ):
         """
-        Guards against a router that cannot start while the service is down because the
+        Guard against a router that cannot start while the service is down because the
         tables exceed one reply of a peer. It must repeat the request until it has every
         part.
         """
@@ -462,7 +462,7 @@
 class TestPartition:
     def test_a_data_centre_catches_up_after_a_partition(self):
         """
-        Guards against a data centre that keeps old tables after a network partition. It
+        Guard against a data centre that keeps old tables after a network partition. It
         is cut off from the others and from the service while two versions are
         published. It must keep its last version and get the newest one within seconds
         of reconnecting, although the service is still down.
@@ -485,7 +485,7 @@
 
     def test_a_router_restarted_in_a_partition_uses_the_tables_of_its_side(self):
         """
-        Guards against a router that never serves because it restarts in a data centre
+        Guard against a router that never serves because it restarts in a data centre
         that is cut off from all others. It must use the tables of the routers that it
         can reach.
         """
@@ -504,7 +504,7 @@
 
 class TestInvalidPeerTables:
     """
-    Guards against accepting invalid tables from a peer of another release or with
+    Guard against accepting invalid tables from a peer of another release or with
     corrupted memory. The asking router must refuse them, keep running, and not repeat
     the request without a pause.
     """
@@ -539,7 +539,7 @@
 class TestStartup:
     def test_a_new_fleet_becomes_ready(self):
         """
-        Guards against a fleet that never serves because all routers start at the same
+        Guard against a fleet that never serves because all routers start at the same
         time without tables and wait for each other.
         """
 
@@ -564,7 +564,7 @@
 class TestInvalidTables:
     def test_an_invalid_table_leaves_the_last_valid_one_in_force(self, caplog):
         """
-        Guards against a typing error in a data centre's state that changes the tables
+        Guard against a typing error in a data centre's state that changes the tables
         in force. Each router must log the row and field, and accept the corrected
         table.
         """
@@ -584,7 +584,7 @@
 
     def test_different_content_under_the_same_version_is_logged(self, caplog):
         """
-        Guards against an unnoticed difference between routers after operators publish
+        Guard against an unnoticed difference between routers after operators publish
         two contents as version 2: routers that restart later would get the second
         content. Running routers must keep the first one and log an error.
         """
--- a/packages/fulmarroad/tests/test_events.py
+++ b/packages/fulmarroad/tests/test_events.py
@@ -71,7 +71,7 @@
 class TestRoleEvents:
     def test_settling_and_shares_of_lost_routers_are_logged_once(self, caplog):
         """
-        Guards against one log line per unit when routers of a data centre are lost.
+        Guard against one log line per unit when routers of a data centre are lost.
         Their units are unused at first and are then reassigned one by one; operators
         should see a single event.
         """
