--- a/packages/fulmarroad-router/src/fulmarroad_router/node.py
+++ b/packages/fulmarroad-router/src/fulmarroad_router/node.py
@@ -227,7 +227,7 @@
             return self._watcher.make_reply(message)
         if isinstance(message, KeyStart | KeyFence | KeyFinish | KeyCopyRequest):
             return self._keys.handle(message)
-        raise MessageError(f"{type(message).__name__} is not a request.")
+        raise MessageError(f"{type(message).__name__} is no question.")
 
     async def _watch_signals(self, *, task_status: TaskStatus[None]) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
