--- a/packages/fulmarroad/src/fulmarroad/_concurrency.py
+++ b/packages/fulmarroad/src/fulmarroad/_concurrency.py
@@ -41,7 +41,7 @@
 keeps its best one.
 """
 
-PROBE_DIVISOR = 8
+TRIAL_DIVISOR = 8
 """Divisor of the limit that gives the step of a first trial.
 
 The effect of smaller steps is lost in noise. Larger ones step over the knee and cost
@@ -285,7 +285,7 @@
         return True
 
     def _start_trial(
-        self, finished: Round, running: int, part: int = PROBE_DIVISOR
+        self, finished: Round, running: int, part: int = TRIAL_DIVISOR
     ) -> None:
         if self._down_next:
             self._slow_at_any_limit = False  # test a lower limit again
--- a/packages/fulmarroad/src/fulmarroad/_fairqueue.py
+++ b/packages/fulmarroad/src/fulmarroad/_fairqueue.py
@@ -134,7 +134,7 @@
 
 
 class WaitingById:
-    """Index waiting demands by id; the base class of all demand queues."""
+    """Index waiting demands by id; the base class of `FleetQueue` and `FifoQueue`."""
 
     def __init__(self) -> None:
         self._waiting: dict[str, Waiting] = {}
@@ -159,7 +159,7 @@
         return self.restore(Waiting(demand, router, arrival, deadline), now)
 
     def restore(self, waiting: Waiting, now: float) -> bool:
-        """Queue a demand that waited before, at its old place."""
+        """Queue a demand again by its arrival; return false if it is queued already."""
         raise NotImplementedError
 
 
@@ -188,7 +188,7 @@
         return self._mean_cost
 
     def restore(self, waiting: Waiting, now: float) -> bool:
-        """Queue a demand that waited before, at its old place."""
+        """Queue a demand again by its arrival; return false if it is queued already."""
         demand = waiting.demand
         if demand.demand_id in self._waiting:
             return False
--- a/packages/fulmarroad/src/fulmarroad/_granting.py
+++ b/packages/fulmarroad/src/fulmarroad/_granting.py
@@ -132,7 +132,7 @@
         self._end(lease, lease.charge.reported, now, learn=False)
 
     def expire(self, now: float) -> None:
-        """End orphaned leases whose deadline has passed."""
+        """End orphaned leases whose deadline and grace are over."""
         for lease in self._leases.expired(now):
             self._end(lease, lease.charge.amount, now, learn=False)
 
@@ -208,7 +208,7 @@
 def _eligible(
     free: Sequence[FreeUnit], followers: dict[RouterName, Follower], now: float
 ) -> Eligible:
-    servers = {offer.unit.server for offer in free}
+    servers = {free_unit.unit.server for free_unit in free}
 
     def eligible(row: Waiting) -> bool:
         if not followers[row.router].fresh(now):
--- a/packages/fulmarroad/src/fulmarroad/_leases.py
+++ b/packages/fulmarroad/src/fulmarroad/_leases.py
@@ -32,7 +32,7 @@
     A scheduler that resumes after a pause may have been replaced without knowing it.
     Its grants could put requests onto units that its successor granted to others. Such
     grants carry an earlier epoch or a clock reading from before the pause and are
-    refused.
+    declined.
 
     `hello_clock` is the clock in the hello that the router last sent. A grant with an
     older reading was sent before the scheduler received that hello. As the hello did
@@ -83,7 +83,7 @@
     orphan: bool = False
 
     def expired(self, now: float) -> bool:
-        """Return whether it is orphaned and past its deadline and the grace period."""
+        """Return whether the lease is orphaned and its deadline and grace are over."""
         return self.orphan and now > self.deadline + ORPHAN_GRACE_S
 
 
@@ -152,7 +152,7 @@
             del self._by_demand[lease.demand_id]
 
     def expired(self, now: float) -> list[Lease]:
-        """Return the orphaned leases whose deadlines have passed."""
+        """Return the orphaned leases whose deadline and grace are over."""
         return [lease for lease in self._orphans.values() if lease.expired(now)]
 
     def unstartable(self, follower: Follower) -> list[Lease]:
--- a/packages/fulmarroad/src/fulmarroad/_membership_view.py
+++ b/packages/fulmarroad/src/fulmarroad/_membership_view.py
@@ -146,7 +146,7 @@
     def _handle_change(self, member: Member, now: float, *, propagate: bool) -> None:
         if propagate:
             self._queue.add(member.update)
-            # Callers wait for the roles of a lost VM until all routers know of its
+            # Callers that need a role of a lost VM wait until all routers know of its
             # loss.
             self.push_pending |= member.state in (MemberState.DEAD, MemberState.LEAVING)
         self.timers.clear(member.router)
--- a/packages/fulmarroad/src/fulmarroad/_pages.py
+++ b/packages/fulmarroad/src/fulmarroad/_pages.py
@@ -57,8 +57,8 @@
     def serve_page(self, request: MembersRequest) -> list[Outgoing]:
         """Answer a page request with members that are not dead.
 
-        An old dead state would only force its member to refute it, if that has returned
-        in the meantime.
+        A dead state may be outdated: a member that has returned in the meantime would
+        only have to refute it.
         """
         table = self._view.table.members
         names = sorted(self._view.others_after(request.after))
--- a/packages/fulmarroad/src/fulmarroad/_probes.py
+++ b/packages/fulmarroad/src/fulmarroad/_probes.py
@@ -27,8 +27,8 @@
 class ProbeOrder:
     """Iterate over all members in random order, reshuffled after each round.
 
-    With an independent random choice each time, a dead member would occasionally stay
-    unprobed for several rounds' worth of periods.
+    With an independent random choice each time, a dead member would occasionally not
+    be probed for as long as several rounds take.
     """
 
     def __init__(self, rng: random.Random) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -1,11 +1,12 @@
 """Units of a backend server that a scheduler may grant because routers lend them.
 
-This guards against a network split within a data centre while both sides still reach
-the same backend servers. Each side elects its own scheduler. If both schedulers granted
-the whole limit, every server would get twice the load; operators would see overloaded
-servers although the records of each side are consistent. Every unit therefore belongs
-to one router of the published VM list, by hash, and a scheduler grants it only while
-that router lends it. A router lends to the one scheduler that it follows.
+This guards against a network partition within a data centre while both sides still
+reach the same backend servers. Each side elects its own scheduler. If both schedulers
+granted the whole limit, every server would get twice the load; operators would see
+overloaded servers although the records of each side are consistent. Every unit
+therefore belongs to one router of the published VM list, by hash, and a scheduler
+grants it only while that router lends it. A router lends to the one scheduler that it
+follows.
 
 A lease outlives the lending under which it was granted, so a unit that changes sides
 can be used twice for the length of one lease. A warm server can bear that. A server
@@ -117,7 +118,7 @@
         self._generation += 1
 
     def mark_seen(self, router: RouterName) -> None:
-        """Record that a lost router is reachable again and stop using its share."""
+        """Record that a lost router is reachable again and stop using its units."""
         if self._lost.pop(router, None) is not None:
             self._generation += 1
 
@@ -143,7 +144,9 @@
     def lost(self, server: ServerName, limit: int, now: float) -> list[int]:
         """Return the units below a limit of owners lost for `TAKE_UP_DELAY_S`."""
         long_lost = {
-            at for at, when in self._lost.items() if now >= when + TAKE_UP_DELAY_S
+            router
+            for router, lost_at in self._lost.items()
+            if now >= lost_at + TAKE_UP_DELAY_S
         }
         if not long_lost:
             return []
--- a/packages/fulmarroad/src/fulmarroad/_slots.py
+++ b/packages/fulmarroad/src/fulmarroad/_slots.py
@@ -40,7 +40,7 @@
 class _Lease:
     unit: Unit
     router: RouterName
-    judged: bool = False  # whether its answer was judged while running
+    observed: bool = False  # whether `observe_early` has counted its answer
 
 
 @define
@@ -51,7 +51,7 @@
     takes_work: bool = False
     held: dict[int, int] = field(factory=dict)  # leases by unit index
     running: int = 0
-    judged: int = 0
+    observed: int = 0  # running leases that `observe_early` has counted
     taken_up: int = 0
     next_take_up: float = 0.0
     usable: list[int] = field(factory=list)
@@ -148,11 +148,11 @@
         self._shares.recall(router)
 
     def mark_lost(self, router: RouterName, now: float) -> None:
-        """Record that a router is lost; its share is taken up unit by unit."""
+        """Record that a router is lost; its units are taken up one by one."""
         self._shares.mark_lost(router, now)
 
     def mark_seen(self, router: RouterName) -> None:
-        """Stop using the share of a lost router that is reachable again."""
+        """Stop using the units of a lost router that is reachable again."""
         self._shares.mark_seen(router)
 
     def adopt_hint(self, hint: ServerHint, now: float) -> tuple[WarmthChange, ...]:
@@ -197,7 +197,7 @@
         server = self._servers.get(lease.unit.server)
         if server is not None:
             server.remove_lease(lease.unit.index)
-            server.judged -= lease.judged
+            server.observed -= lease.observed
 
     def orphans(self, router: RouterName) -> tuple[str, ...]:
         """Return a router's leases, which run to their deadlines once it is lost."""
@@ -217,13 +217,13 @@
         now: float,
         lease_id: str = "",
     ) -> tuple[WarmthChange, ...]:
-        """Judge a server by an ended request, before its lease is released."""
+        """Update a server's health from an ended request whose lease is still held."""
         known = self._servers.get(server)
         if known is None:
             return ()
         lease = self._leases.get(lease_id)
-        judged = lease is not None and lease.judged
-        if judged and outcome is Outcome.COMPLETED and not known.health.is_warm:
+        observed = lease is not None and lease.observed
+        if observed and outcome is Outcome.COMPLETED and not known.health.is_warm:
             return ()  # `observe_early` has counted it
         usable = len(self._refresh(server, known, now))
         before = (known.health.warmth, known.health.limit(now), known.taken_up)
@@ -236,7 +236,7 @@
             known.running,
             full,
             now,
-            unjudged=known.running - known.judged,
+            unobserved=known.running - known.observed,
         )
         self._adjust_taken_up(server, known, outcome, full, now)
         after = (known.health.warmth, known.health.limit(now), known.taken_up)
@@ -252,7 +252,7 @@
         service: float,
         now: float,
     ) -> tuple[WarmthChange, ...]:
-        """Judge a server that is not warm by an answer that is still running.
+        """Update the health of a server that is not warm from a running answer.
 
         A long answer takes ten seconds or more, and a ramp takes ten rounds of
         answers. The first sixteen tokens tell as much about the server after one
@@ -260,13 +260,13 @@
         vary less.
         """
         lease = self._leases.get(lease_id)
-        if lease is None or lease.judged:
+        if lease is None or lease.observed:
             return ()
         known = self._servers.get(lease.unit.server)
         if known is None or known.health.is_warm:
             return ()
-        self._leases[lease_id] = evolve(lease, judged=True)
-        known.judged += 1
+        self._leases[lease_id] = evolve(lease, observed=True)
+        known.observed += 1
         changes = known.health.observe(
             Outcome.COMPLETED,
             first_s,
@@ -275,7 +275,7 @@
             known.running,
             full=True,
             now=now,
-            unjudged=known.running - known.judged,
+            unobserved=known.running - known.observed,
         )
         known.invalidate()
         return changes
--- a/packages/fulmarroad/src/fulmarroad/_swim.py
+++ b/packages/fulmarroad/src/fulmarroad/_swim.py
@@ -146,7 +146,10 @@
         return self._version_tracker.versions
 
     def hint(self, vms: Collection[VmEntry], now: float) -> list[Outgoing]:
-        """Use a VM list as a hint which VMs to probe."""
+        """Replace the VM list, which is a hint about which VMs to probe.
+
+        If the list changed and no other live member is known, some VMs are probed now.
+        """
         changed = self._view.vm_list.replace(vms)
         if not changed or self._view.others():
             return []
--- a/packages/fulmarroad/src/fulmarroad/_totals.py
+++ b/packages/fulmarroad/src/fulmarroad/_totals.py
@@ -148,7 +148,7 @@
     return (grants + unreported + moves) / min_weight
 
 
-def _is_sane(entry: ServiceEntry) -> bool:
+def _is_finite(entry: ServiceEntry) -> bool:
     return math.isfinite(entry.served) and math.isfinite(entry.lag)
 
 
@@ -181,7 +181,7 @@
         if now - peer.at > SILENCE_S:
             peer.resumed_at = now
         peer.at = now
-        rows = [row for row in report.entries if _is_sane(row)]
+        rows = [row for row in report.entries if _is_finite(row)]
         base = self._zero_lag_counter(rows, now)
         for entry in rows:
             self._apply_entry(peer, report.sequence, entry, base, now)
--- a/packages/fulmarroad/src/fulmarroad/_vmlist.py
+++ b/packages/fulmarroad/src/fulmarroad/_vmlist.py
@@ -61,7 +61,7 @@
     def published(
         self, data_centre: DataCentreName | None = None
     ) -> tuple[RouterName, ...]:
-        """Return the VMs of a data centre; leaving ones are owners too."""
+        """Return the VMs of one or all data centres; leaving ones are owners too."""
         return tuple(
             sorted(
                 entry.router
--- a/packages/fulmarroad/src/fulmarroad/_warmth.py
+++ b/packages/fulmarroad/src/fulmarroad/_warmth.py
@@ -69,7 +69,9 @@
 """Multiple of the target, or of a higher own best, above which a ramp ends at once."""
 
 SLOW_RUN = 3
-"""Slow answers in a row that step a budget back, or make a warm server cold.
+"""Slow answers in a row that end a ramp, or make a warm server cold.
+
+The ramp ends at the last budget that had good answers.
 
 One may be due to a long prompt, two to a pair of requests of one caller. Three in a
 row are rare among the answers of several callers unless the server is the cause.
@@ -270,12 +272,12 @@
         running: int,
         full: bool,
         now: float,
-        unjudged: int | None = None,
+        unobserved: int | None = None,
     ) -> tuple[WarmthChange, ...]:
-        """Judge the server by one answer.
+        """Update the warmth and the limit from one answer.
 
         `running` is the number of requests that ran, including this one, and
-        `unjudged` how many of them were not judged before (default: all).
+        `unobserved` how many of them were not counted before (default: all).
         """
         if outcome in (Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE):
             return self._on_failure(outcome, running, now)
@@ -290,7 +292,7 @@
             return self._on_probe_answer(now)
         if self.warmth is Warmth.WARM:
             return self._on_warm_answer(ratio, seconds, running, full, now)
-        running_before = running if unjudged is None else unjudged
+        running_before = running if unobserved is None else unobserved
         return self._on_ramp_answer(ratio, seconds, running, running_before)
 
     def _on_unmeasured(self, outcome: Outcome, now: float) -> tuple[WarmthChange, ...]:
--- a/packages/fulmarroad/tests/test_membership.py
+++ b/packages/fulmarroad/tests/test_membership.py
@@ -369,7 +369,7 @@
 
 
 class RandomFaults(RuleBasedStateMachine):
-    """Apply network faults, pauses, restarts, partitions and drains, then end all.
+    """Apply network faults, pauses, restarts, partitions and drains, then end them all.
 
     After any such sequence, no router may still consider a VM dead that runs and is
     reachable: its schedulers would never return to it.
--- a/packages/fulmarroad/tests/test_slots.py
+++ b/packages/fulmarroad/tests/test_slots.py
@@ -174,8 +174,8 @@
 class TestEarlyJudgement:
     """Test that running answers advance a ramp, each counted once."""
 
-    def judge_two_answers(self, book):
-        """Judge two running answers of a server, enough to raise its first budget."""
+    def observe_two_answers(self, book):
+        """Observe two running answers of a server, enough to raise its first budget."""
         for number in range(2):
             unit = next(o.unit for o in book.free(START) if o.unit.server == "s1")
             book.take(unit, f"l{number}", "a", START)
@@ -192,12 +192,12 @@
         # Long answers take ten seconds or more. If only whole answers counted, a
         # returning data centre would be half idle for minutes.
         book = new_book()
-        self.judge_two_answers(book)
+        self.observe_two_answers(book)
         assert self.limit(book) == 2
 
     def test_whole_answer_is_not_counted_again(self):
         book = new_book()
-        self.judge_two_answers(book)
+        self.observe_two_answers(book)
         for _ in range(4):
             book.observe("s1", Outcome.COMPLETED, 0.1, 0.02, 99.0, START, "l1")
         assert self.limit(book) == 2
@@ -213,7 +213,7 @@
     def test_failure_after_an_early_judgement_still_counts(self):
         # The server becomes overloaded in the middle of answers that began well.
         book = new_book()
-        self.judge_two_answers(book)
+        self.observe_two_answers(book)
         book.observe("s1", Outcome.FAILED, None, None, 0.0, START, "l1")
         assert self.limit(book) == 1
 
