--- a/packages/fulmarroad/src/fulmarroad/_shares.py
+++ b/packages/fulmarroad/src/fulmarroad/_shares.py
@@ -144,9 +144,7 @@
     def lost(self, server: ServerName, limit: int, now: float) -> list[int]:
         """Return the units below a limit of owners lost for `TAKE_UP_DELAY_S`."""
         long_lost = {
-            router
-            for router, lost_at in self._lost.items()
-            if now >= lost_at + TAKE_UP_DELAY_S
+            at for at, when in self._lost.items() if now >= when + TAKE_UP_DELAY_S
         }
         if not long_lost:
             return []
--- a/packages/fulmarroad/tests/scheduling/conftest.py
+++ b/packages/fulmarroad/tests/scheduling/conftest.py
@@ -123,9 +123,8 @@
             ]
         self.schedulers = {}
         self.replaced = []  # replaced schedulers, which may still resume
-        self.stream_count = defaultdict(
-            int
-        )  # by (router, shard), streams opened so far
+        # Streams opened so far, by (router, shard).
+        self.stream_count = defaultdict(int)
         self.paused_until = {}
         self.inbox = defaultdict(deque)  # by epoch: actions queued during a pause
         self.refused = []
@@ -308,9 +307,9 @@
 
     def _arrive(self, request):
         self.routers[request.router].requests[request.name] = request
-        self._ask(request)
+        self._send_demand(request)
 
-    def _ask(self, request):
+    def _send_demand(self, request):
         router = self.routers[request.router]
         self._send_to_scheduler(router, request.shard, self._demand_message(request))
 
@@ -369,7 +368,7 @@
             done = Finished(grant.shard, grant.lease_id, Outcome.DECLINED, 0.0)
             self._send_to_scheduler(router, grant.shard, done)
             if request is not None and request.state == "waiting":
-                self._ask(request)
+                self._send_demand(request)
             return
         self._send_to_scheduler(
             router, grant.shard, Started(grant.shard, grant.lease_id)
@@ -427,7 +426,7 @@
             return
         request.shard = move.target
         request.moves += 1
-        self._ask(request)
+        self._send_demand(request)
 
     # Network
 
--- a/packages/fulmarroad/tests/scheduling/test_scheduling.py
+++ b/packages/fulmarroad/tests/scheduling/test_scheduling.py
@@ -326,9 +326,8 @@
 
             @rule(shard=st.integers(0, 1))
             def replace(self, shard):
-                self.wait(
-                    0.03
-                )  # broken links are open again and all hellos have arrived
+                # Broken links are open again and all hellos have arrived.
+                self.wait(0.03)
                 self.pool.start_scheduler(list(self.pool.shards)[shard])
                 self.wait(0.03)
 
--- a/packages/fulmarroad/tests/test_shares.py
+++ b/packages/fulmarroad/tests/test_shares.py
@@ -35,7 +35,9 @@
 
 def offered(book, server, now):
     return sorted(
-        offer.unit.index for offer in book.free(now) if offer.unit.server == server
+        free_unit.unit.index
+        for free_unit in book.free(now)
+        if free_unit.unit.server == server
     )
 
 
@@ -187,7 +189,11 @@
 
     def serve(self, book, now, *, first_s=0.2, outcome=Outcome.COMPLETED):
         """Fill the warm server, end all its requests and return their number."""
-        units = [offer.unit for offer in book.free(now) if offer.unit.server == "warm"]
+        units = [
+            free_unit.unit
+            for free_unit in book.free(now)
+            if free_unit.unit.server == "warm"
+        ]
         for unit in units:
             book.take(unit, f"{unit}@{now}", "b", now)
         for unit in units:
@@ -341,12 +347,12 @@
                 self._grant(side, followers[pick % len(followers)], late)
 
     def _grant(self, side, vm, late):
-        for offer in self.books[side].free(self.now):
+        for free_unit in self.books[side].free(self.now):
             self.number += 1
             lease_id = f"l{self.number}"
-            self.books[side].take(offer.unit, lease_id, vm, self.now)
+            self.books[side].take(free_unit.unit, lease_id, vm, self.now)
             self.leases[lease_id] = Lease(
-                offer.unit,
+                free_unit.unit,
                 vm,
                 side,
                 self.now + LEASE_S,
