--- a/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
+++ b/packages/fulmarroad-bench/src/fulmarroad_bench/_capacity_sums.py
@@ -102,7 +102,7 @@
     beats = size.shards_of_centre * BEATS_S
     sheet.add(role, "sent", "demand, started, finished", rate, asked)
     sheet.add(role, "received", "grants", rate, grant)
-    sheet.add(role, "sent", "lends, one a beat", beats, lend)
+    sheet.add(role, "sent", "lends, one per heartbeat", beats, lend)
     sheet.add(role, "received", "heartbeats of the shards followed", beats, beat)
     sheet.add(role, "sent", "progress reports", *_progress(sheet, size))
     sheet.add(role, "us", "lookups", rate, sheet.at("lookup_us_workspace", 0))
@@ -111,7 +111,7 @@
     codec = sheet.at("request_codec_us", PROMPT_BLOCKS)
     sheet.add(role, "us", "request codec, both ends", rate, codec)
     codec = sheet.at("beat_codec_us", size.servers_of_shard)
-    sheet.add(role, "us", "beat and lend codec, both ends", beats, codec)
+    sheet.add(role, "us", "heartbeat and lend codec, both ends", beats, codec)
     leases = size.running / size.nodes
     sheet.add(role, "bytes", "leases", leases, sheet.each("follower_lease_bytes"))
     shards = size.models * size.shards_of_pool
@@ -148,14 +148,14 @@
     sheet.add(role, "sent", "service reports", reports, report)
     sheet.add(role, "received", "service reports", reports, report)
     cycle = sheet.at("cycle_us", size.backlogged_of_pool)
-    sheet.add(role, "us", "cycles of a request", rate, cycle)
+    sheet.add(role, "us", "demand, start, end and next grant", rate, cycle)
     tick = sheet.at("beat_tick_us", size.servers_of_shard)
     sheet.add(role, "us", "ticks", roles * TICKS_S, tick)
     sheet.add(role, "us", "lends", beats, sheet.at("lend_us", size.servers_of_shard))
     rounds, _ = _progress(sheet, size)
     leases = size.running / size.nodes
     one = sheet.each("progress_us") + sheet.each("progress_codec_us")
-    sheet.add(role, "us", "progress, codec too", rounds, leases, one)
+    sheet.add(role, "us", "progress reports with codec", rounds, leases, one)
     one = sheet.at("report_codec_us", entries) + sheet.at("report_absorb_us", entries)
     sheet.add(role, "us", "service reports", reports, one)
     _scheduler_memory(sheet, size)
@@ -173,7 +173,7 @@
     peers = size.schedulers_of_pool - 1
     known = size.workspaces / size.models
     one = sheet.each("peer_entry_bytes")
-    sheet.add(role, "bytes", "what others told", roles, peers, known, one)
+    sheet.add(role, "bytes", "entries from other schedulers", roles, peers, known, one)
     prefixes = sheet.at("prefix_bytes", PREFIX_BLOCKS)
     sheet.add(role, "bytes", "prefix map, full", roles, servers, prefixes)
 
@@ -185,14 +185,18 @@
     for kind in ("sent", "received"):
         sheet.add(role, kind, "probes and answers", 1, probes)
         sheet.add(
-            role, kind, "news of replaced VMs", updates, sheet.each("update_bytes")
+            role,
+            kind,
+            "updates about replaced VMs",
+            updates,
+            sheet.each("update_bytes"),
         )
     spent = sheet.at("probe_us_period", size.nodes)
     sheet.add(role, "us", "probes and answers", 1, spent)
     shards = size.models * size.shards_of_pool
     changes = 2 * size.replaced_day / DAY_S
     assigned = sheet.at("assignment_us", shards)
-    sheet.add(role, "us", "owners worked out anew", changes, assigned)
+    sheet.add(role, "us", "reassignment of shard owners", changes, assigned)
     known = size.nodes + DEAD_MEMBERS_KEPT
     sheet.add(role, "bytes", "members", known, sheet.each("member_bytes"))
 
@@ -202,10 +206,10 @@
     text = sheet.each("table_text_bytes") * size.workspaces / TABLE_PARTS
     manifest = sheet.at("manifest_bytes", TABLE_PARTS)
     for kind in ("sent", "received"):
-        sheet.add(role, kind, "one part a change", changes, text)
-        sheet.add(role, kind, "manifest a change", changes, manifest)
+        sheet.add(role, kind, "one part per change", changes, text)
+        sheet.add(role, kind, "manifest per change", changes, manifest)
     spent = sheet.at("tables_change_us", size.workspaces)
-    sheet.add(role, "us", "a change taken in", changes, spent)
+    sheet.add(role, "us", "applying a change", changes, spent)
     for per, count in (("workspace", size.workspaces), ("server", size.servers)):
         one = sheet.each(f"tables_bytes_{per}")
         sheet.add(role, "bytes", f"tables, {per}s", count, one)
@@ -213,7 +217,7 @@
 
 def _keys(sheet: _CostSheet) -> None:
     sheet.add("keys", "bytes", "records, full", KEYS_KEPT, sheet.each("key_bytes"))
-    sheet.add("keys", "bytes", "kept answers, full", 1, KEY_ANSWERS_BYTES)
+    sheet.add("keys", "bytes", "stored answers, full", 1, KEY_ANSWERS_BYTES)
 
 
 def _records(sheet: _CostSheet) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_messages.py
+++ b/packages/fulmarroad/src/fulmarroad/_messages.py
@@ -98,7 +98,7 @@
 
 @frozen
 class Withdraw:
-    """Withdraw a waiting demand whose caller left or whose deadline passed."""
+    """Withdraw a waiting demand whose caller disconnected or whose deadline passed."""
 
     shard: ShardId
     demand_id: str
@@ -118,7 +118,7 @@
 
     `first_s` and `gap_s` are the time to the answer's first byte and the mean time
     between chunks, in seconds. They are sent once, when enough of the answer has
-    arrived to judge its server by.
+    arrived to assess the backend server.
     """
 
     lease_id: str
@@ -276,10 +276,10 @@
 
 @frozen
 class TablesRequest:
-    """Ask a peer for its tables in force, without the parts that the asker holds."""
+    """Ask a peer for its tables in force, without the parts that the sender holds."""
 
     above: int
-    known: tuple[str, ...] = ()  # SHA-256 of the parts that the asker holds
+    known: tuple[str, ...] = ()  # SHA-256 of the parts that the sender holds
 
 
 @frozen
@@ -309,7 +309,7 @@
 class KeyStart:
     """Ask a group member to record that an attempt is about to be sent.
 
-    `group` is the key's group according to the asker's VM list.
+    `group` is the key's group according to the sender's VM list.
     """
 
     workspace: WorkspaceName
@@ -355,9 +355,9 @@
 
 @frozen
 class KeyCopyRequest:
-    """Ask a group member for a page of the records of groups shared with the asker.
+    """Ask a group member for a page of the records of groups that `asker` is also in.
 
-    `vms` are the data centre's VMs according to the asker's list.
+    `vms` are the data centre's VMs according to the sender's list.
     """
 
     data_centre: DataCentreName
@@ -369,7 +369,7 @@
 
 @frozen
 class KeyEntry:
-    """Hold one record of a copy and its age."""
+    """Hold one key's record in a `KeyCopyReply` and the record's age."""
 
     workspace: WorkspaceName
     key: str
@@ -379,7 +379,7 @@
 
 @frozen
 class KeyCopyReply:
-    """Return one page of records; `ready` is false while the sender may miss some.
+    """Return one page of records; `ready` is false while the sender may lack some.
 
     `basis` is the VM list for which the sender knows every key of its groups.
     """
--- a/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
+++ b/packages/fulmarroad/src/fulmarroad/_pool_reporter.py
@@ -56,7 +56,7 @@
         self._peers = peers
 
     def set_draining(self, draining: bool) -> None:
-        """Set whether no backend server of the shard accepts new work."""
+        """Set whether no backend server of the shard takes new work."""
         self._draining = draining
 
     def receive_report(self, report: ServiceReport, now: float) -> None:
--- a/packages/fulmarroad/src/fulmarroad/_scheduler.py
+++ b/packages/fulmarroad/src/fulmarroad/_scheduler.py
@@ -184,7 +184,7 @@
     ) -> list[Send]:
         """Apply a change of the tables.
 
-        If no backend server of the shard accepts work (`available` is empty), its
+        If no backend server of the shard takes work (`available` is empty), its
         waiting demands are moved to other shards.
         """
         self._granting.record_changes(
